--- a/rushweir/lab/capacity/fits.py
+++ b/rushweir/lab/capacity/fits.py
@@ -4,17 +4,27 @@
 relatively; the one that is off by least holds. Each has two parameters, so none is favoured. A form that falls below
 zero at the size asked for is no answer there: then the next best holds. A size that was measured is answered by its
 median, not by a fit.
+
+Processors round differently in the last digits, so nothing here may hang on them: forms that are off by the same
+within ``TOLERANCE`` go by ``FORM_ORDER``, and what is only rounding noise is taken as zero.
 """
 
 from __future__ import annotations
 
+import math
 import statistics
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
 import numpy as np
 
+from rushweir.lab.capacity.units import without_noise
+
 LEAST_SIZES = 4
+# Relative; residuals are relative themselves, so it is their absolute floor too. Rounding leaves some 1e-15 to 1e-12
+# in a fit, and the page prints three digits: this lies well between the two.
+TOLERANCE = 1e-9
+FORM_ORDER = ("line", "power", "limit")  # of forms that are equally good: the simplest first
 
 
 class FitError(ValueError):
@@ -33,13 +43,14 @@
     def at(self, size: float) -> float:
         if self.name == "power":
             return self.first * size**self.second
-        return self.first + self.second * (size if self.name == "line" else 1 / size)
+        return _sum(self.first, self.second * (size if self.name == "line" else 1 / size))
 
     def __str__(self) -> str:
+        first, second = without_noise(self.first), without_noise(self.second)
         if self.name == "power":
-            return f"{self.first:.3g} n^{self.second:.2f}"
-        sign = "-" if self.second < 0 else "+"
-        return f"{self.first:.3g} {sign} {abs(self.second):.3g} {'n' if self.name == 'line' else '/ n'}"
+            return f"{first:z.3g} n^{second:z.2f}"
+        sign = "-" if second < 0 else "+"
+        return f"{first:z.3g} {sign} {abs(second):.3g} {'n' if self.name == 'line' else '/ n'}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +105,39 @@
     if (values > 0).all():
         exponent, log = np.polyfit(np.log(sizes), np.log(values), 1)
         forms.append(Form("power", float(np.exp(log)), float(exponent)))
-    return Fit(medians, tuple(sorted((_judged(f, sizes, values, weights) for f in forms), key=lambda f: f.residual)))
+    forms = [_judged(_without_small_parameters(f, sizes, weights), sizes, values, weights) for f in forms]
+    return Fit(medians, ranked(forms))
+
+
+def ranked(forms: Iterable[Form]) -> tuple[Form, ...]:
+    """Best first; of those that are as good as the best that is left, the first by FORM_ORDER.
+
+    Each is compared with the best alone: "equal within a tolerance" is not transitive, so it cannot be a sort key.
+    """
+    left = sorted(forms, key=lambda f: FORM_ORDER.index(f.name))
+    found = []
+    while left:
+        least = min(f.residual for f in left)
+        best = next(f for f in left if math.isclose(f.residual, least, rel_tol=TOLERANCE, abs_tol=TOLERANCE))
+        left.remove(best)
+        found.append(best)
+    return tuple(found)
+
+
+def _sum(a: float, b: float) -> float:
+    """a + b, and zero where they cancel each other but for rounding noise."""
+    return 0.0 if abs(a + b) <= TOLERANCE * max(abs(a), abs(b)) else a + b
+
+
+def _without_small_parameters(form: Form, sizes: np.ndarray, weights: np.ndarray) -> Form:
+    """The form with zero for each parameter that adds less than the tolerance to the value at every size measured."""
+    if form.name == "power":
+        change = abs(form.second) * math.log(sizes[-1] / sizes[0])
+        return replace(form, second=0.0) if change <= TOLERANCE else form
+    over = sizes if form.name == "line" else 1 / sizes
+    first = 0.0 if (abs(form.first) * weights).max() <= TOLERANCE else form.first
+    second = 0.0 if (abs(form.second) * over * weights).max() <= TOLERANCE else form.second
+    return replace(form, first=first, second=second)
 
 
 def _judged(form: Form, sizes: np.ndarray, values: np.ndarray, weights: np.ndarray) -> Form:
--- a/rushweir/lab/capacity/tables.py
+++ b/rushweir/lab/capacity/tables.py
@@ -90,9 +90,9 @@
     """Sizes, exponent, form and how far off it is."""
     fitted = figure.fit
     form = fitted.form(figure.target)
-    exponent = "-" if fitted.exponent is None else f"{fitted.exponent:.2f}"
+    exponent = "-" if fitted.exponent is None else f"{units.without_noise(fitted.exponent):z.2f}"
     sizes = ", ".join(units.plain(n) for n in fitted.sizes)
-    return sizes, exponent, form.name, f"{form.residual * 100:.0f}%"
+    return sizes, exponent, form.name, f"{units.without_noise(form.residual * 100):z.0f}%"
 
 
 def slopes(sheet: Sheet, document: dict[str, Any]) -> list[str]:
@@ -118,7 +118,7 @@
     comes before what something does: it has no ratio, however little it would take."""
     rows: list[tuple[float, RoleText, Need | None]] = []
     for r in sheet.roles:
-        rows += [(n.ratio, r, n) for n in r.needs if n.ratio is not None]
+        rows += [(units.without_noise(n.ratio), r, n) for n in r.needs if n.ratio is not None]
         if r.missing:
             rows.append((math.inf, r, None))
     return sorted(rows, key=lambda row: -row[0])
--- a/rushweir/lab/capacity/units.py
+++ b/rushweir/lab/capacity/units.py
@@ -16,6 +16,9 @@
     "bytes": (("MB", 1e6), ("KB", 1e3), ("B", 1.0)),
     "flow": (("MB/s", 1e6), ("KB/s", 1e3), ("B/s", 1.0)),
 }
+# Three digits are printed. Rounding to so many first takes away the noise that processors leave in the last of
+# sixteen, which would decide a value on the edge of a rounding step, such as 1.125, or of a unit, such as 1,000 B.
+STABLE_DIGITS = 9
 
 
 class UnitError(ValueError):
@@ -37,8 +40,14 @@
     return EACH_SECOND[measures]
 
 
+def without_noise(value: float) -> float:
+    """The value as it is compared or printed on every processor: rounded to STABLE_DIGITS."""
+    return float(f"{value:.{STABLE_DIGITS}g}")
+
+
 def plain(value: float) -> str:
     """Three digits that count."""
+    value = without_noise(value)
     if value == 0:
         return "0"
     if abs(value) >= 100:
@@ -48,6 +57,7 @@
 
 def text(value: float, measures: str) -> str:
     """A figure as people read it."""
+    value = without_noise(value)
     if measures == "core":
         return f"{plain(value * 100)}% of a core" if abs(value) < 2 else f"{plain(value)} cores"
     if measures in STEPS:
