--- a/benchmarks/http_parsers.py
+++ b/benchmarks/http_parsers.py
@@ -1,6 +1,6 @@
 """h11 beside httptools: CPU of reading one request and one answer, and the same hostile corpus, in one run.
 
-    .venv/bin/python -m benchmarks.http_parsers
+.venv/bin/python -m benchmarks.http_parsers
 """
 
 from __future__ import annotations
--- a/rushweir/budgets/lending.py
+++ b/rushweir/budgets/lending.py
@@ -108,9 +108,7 @@
             self.counts["not_home"] += 1
             return
         # What it gave back is free for others at once, also where its answer waits.
-        self._home(key, whole).hear(
-            self.fleet.now, who, serial, holding, demand, self._lendable(key, whole), spilled
-        )
+        self._home(key, whole).hear(self.fleet.now, who, serial, holding, demand, self._lendable(key, whole), spilled)
         had = self.waiting.get((key, who))
         if had is None and len(self.waiting) >= self.most:
             self.counts["not_heard"] += 1
--- a/rushweir/cli/change.py
+++ b/rushweir/cli/change.py
@@ -34,8 +34,14 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 @click.option("--new", is_flag=True, help="The first start of all of them: there is no log yet.")
-@click.option("--from", "copies", multiple=True, type=click.Path(path_type=Path, dir_okay=False), metavar="COPY",
-              help="Its log is lost: make it of copies of all the others' logs; all are down.")
+@click.option(
+    "--from",
+    "copies",
+    multiple=True,
+    type=click.Path(path_type=Path, dir_okay=False),
+    metavar="COPY",
+    help="Its log is lost: make it of copies of all the others' logs; all are down.",
+)
 @click.option("--log", type=click.Choice(["text", "json"]), default="text", help="Form of the log, standard error.")
 def control(file: Path, new: bool, copies: tuple[Path, ...], log: str) -> None:
     """Run one control process with the settings in FILE, until SIGTERM."""
--- a/rushweir/console/app.py
+++ b/rushweir/console/app.py
@@ -202,6 +202,7 @@
 
 def charts(slots: list[dict[str, Any]]) -> list[Any]:
     """The last hour: answers a second, times, and how late the process's turns came."""
+
     def per_s(kind: str) -> list[float]:
         return [s[kind] / 10 for s in slots]
 
--- a/rushweir/daemon/control_operators.py
+++ b/rushweir/daemon/control_operators.py
@@ -1,9 +1,9 @@
 """The operators' socket of a control process: JSON-RPC 2.0, one message a line, as an ingress's (daemon/control.py).
 
-    status {}                          how this control process and those that it reaches stand
-    objects {"after": [kind, name]}    objects as they are in force, in their order, up to OBJECTS_BYTES at a time
-    propose {"changes": [[kind, name, base64 or null]], "author", "base"}
-                                       one step of all; answered once it is in force, or will not be
+status {}                          how this control process and those that it reaches stand
+objects {"after": [kind, name]}    objects as they are in force, in their order, up to OBJECTS_BYTES at a time
+propose {"changes": [[kind, name, base64 or null]], "author", "base"}
+                                   one step of all; answered once it is in force, or will not be
 """
 
 from __future__ import annotations
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -1,12 +1,12 @@
 """An ingress's settings from the control processes: a thin shell on asyncio around ``Watching``.
 
-    start, with something kept      its objects, checked, before the ingress serves; no control process is needed
-    start, with nothing             the first version that comes and fits; who changed after what all act on is held
-                                    down until all act on that change; where ceilings are lent, all until
-                                    four terms after they do
-    a change                        applied in a turn of the loop (reloading.py), then appended to the log
-    a large step                    read, weighed and prepared in threads, applied in a turn, noted in the next
-    all act on a version            told to whoever holds ceilings down meanwhile (config/live.py, settled)
+start, with something kept      its objects, checked, before the ingress serves; no control process is needed
+start, with nothing             the first version that comes and fits; who changed after what all act on is held
+                                down until all act on that change; where ceilings are lent, all until
+                                four terms after they do
+a change                        applied in a turn of the loop (reloading.py), then appended to the log
+a large step                    read, weighed and prepared in threads, applied in a turn, noted in the next
+all act on a version            told to whoever holds ceilings down meanwhile (config/live.py, settled)
 """
 
 from __future__ import annotations
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -281,9 +281,7 @@
         if not 0 < (number(units) or 0) <= most:
             raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.units: a number above 0, {most:g} at most", call.id)
         if key is not None and not (type(key) is str and 0 < len(key) <= MOST_KEY):
-            raise rpc.RpcError(
-                rpc.INVALID_PARAMS, f"params.key: text of at most {MOST_KEY} characters", call.id
-            )
+            raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.key: text of at most {MOST_KEY} characters", call.id)
         if self.settings.costs is not None:
             # Priced by what was read, whatever the request claims: a claim would be the cheapest way round a quota.
             units = amounts.units(self.settings.costs.rpc(call.method, params.get("data")).amount)
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -371,4 +371,3 @@
             if service is not None:
                 service.link.stop(now)
         self._run()
-
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -298,9 +298,7 @@
     def _moot(self, attempt: c.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.rid)
         settled = entry is None or entry.state is DONE
-        self._tell(
-            i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.MOOT, 0.0, settled), entry
-        )
+        self._tell(i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.MOOT, 0.0, settled), entry)
 
     def _refuse(self, action: i.Refuse) -> None:
         entry = self._open_entry(action.id, "refuse")
@@ -341,9 +339,7 @@
 
     # --- answers ---------------------------------------------------------------------------------
 
-    def _answer(
-        self, entry: Entry, kind: str, body: Any = None, why: str = "", retry: float = 0.0
-    ) -> None:
+    def _answer(self, entry: Entry, kind: str, body: Any = None, why: str = "", retry: float = 0.0) -> None:
         self.counts[kind] += 1
         self.ledger.finish(entry, ANSWER)
         self.out.append(c.Answer(entry.conn, entry.ref, kind, body, why, retry, entry.rid))
--- a/rushweir/ingress/pool.py
+++ b/rushweir/ingress/pool.py
@@ -13,9 +13,7 @@
 class BasePool:
     """``out`` holds orders for the shell, ``ended`` what became of attempts and probes."""
 
-    def __init__(
-        self, new_conn: Callable[[Any], int], at: Callable[[float, Callable[..., None], Any], None]
-    ) -> None:
+    def __init__(self, new_conn: Callable[[Any], int], at: Callable[[float, Callable[..., None], Any], None]) -> None:
         """``new_conn`` names a connection and registers its handler; ``at`` sets a timer."""
         self.new_conn, self.at = new_conn, at
         self.out: list[c.Order] = []
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -110,9 +110,7 @@
         if peer_socket is not None:
             self.udp, _ = await self.loop.create_datagram_endpoint(lambda: Datagrams(self), sock=peer_socket)
         elif peer_address is not None:
-            self.udp, _ = await self.loop.create_datagram_endpoint(
-                lambda: Datagrams(self), local_addr=peer_address
-            )
+            self.udp, _ = await self.loop.create_datagram_endpoint(lambda: Datagrams(self), local_addr=peer_address)
         last = None
         if self.list_file is not None:
             with contextlib.suppress(FileNotFoundError):
--- a/rushweir/interface.py
+++ b/rushweir/interface.py
@@ -256,9 +256,7 @@
 
 
 # Settings are an event too: others, for the same gateway, from now on.
-Event = (
-    Settings | Part | Members | Request | Outcome | FirstByte | Gone | Timer | PeerMessage | Counted | Probed
-)
+Event = Settings | Part | Members | Request | Outcome | FirstByte | Gone | Timer | PeerMessage | Counted | Probed
 
 # --- actions ----------------------------------------------------------------------------------
 
--- a/rushweir/lab/bench.py
+++ b/rushweir/lab/bench.py
@@ -255,7 +255,6 @@
         line = await process.stdout.readline()
         return process, f"ws://127.0.0.1:{int(line)}/"
 
-
     async def press(self, seconds: float) -> dict[str, Any]:
         """The ingress at its limit."""
         return await _run("press", self.url, self.credential, str(seconds))
--- a/rushweir/lab/capacity/page.py
+++ b/rushweir/lab/capacity/page.py
@@ -1,8 +1,8 @@
 """docs/CAPACITY.md and docs/capacity.json held together: tables stand between markers, the rest is written by hand.
 
-    <!-- table NAME -->
-    ...
-    <!-- end NAME -->
+<!-- table NAME -->
+...
+<!-- end NAME -->
 """
 
 from __future__ import annotations
--- a/rushweir/lab/day.py
+++ b/rushweir/lab/day.py
@@ -145,8 +145,12 @@
     key_window: float = 6000.0
     rules: dict[str, float] = field(
         default_factory=lambda: {
-            "drain_grace": 1000.0, "cold_share": 0.2, "cold_time": 8000.0, "fall_multiple": 3.0,
-            "fall_time": 1500.0, "answer_slack": 8.0,
+            "drain_grace": 1000.0,
+            "cold_share": 0.2,
+            "cold_time": 8000.0,
+            "fall_multiple": 3.0,
+            "fall_time": 1500.0,
+            "answer_slack": 8.0,
         }  # fmt: skip
     )
     limits: dict[str, float] = field(default_factory=lambda: {"attempts": 4, "retry_after": 500.0})
--- a/rushweir/lab/scale/fleet.py
+++ b/rushweir/lab/scale/fleet.py
@@ -208,9 +208,7 @@
         }  # fmt: skip
 
 
-async def run(
-    scene: Scene, times: Times, say: Callable[[str], None], plants: Sequence[str] = ()
-) -> dict[str, Any]:
+async def run(scene: Scene, times: Times, say: Callable[[str], None], plants: Sequence[str] = ()) -> dict[str, Any]:
     """Play a scene. Raises DoesNotFit, ChildFailed."""
     machine = bounds.this_machine()
     bounds.fits(bounds.need_of(scene, machine.cores), machine)
--- a/rushweir/lab/scale/pure_list.py
+++ b/rushweir/lab/scale/pure_list.py
@@ -90,6 +90,4 @@
     yield Sample(role, "kept_bytes", "KB", by, size, len(kept.dump(by_address, set(), 0.0)) / 1e3, "core")
 
 
-ROLES = (
-    Role("list_alone", "A change of the list and the whole, at one ingress", "backends", LISTS, watcher, sizes),
-)
+ROLES = (Role("list_alone", "A change of the list and the whole, at one ingress", "backends", LISTS, watcher, sizes),)
--- a/rushweir/lab/scale/pure_settings.py
+++ b/rushweir/lab/scale/pure_settings.py
@@ -1,6 +1,6 @@
 """Settings by partners: read alone in a fresh process, and in a real ``rushweir serve`` that is told of one change.
 
-    python -m rushweir.lab.scale.pure_settings FILE      what reading FILE costs, as a line of JSON
+python -m rushweir.lab.scale.pure_settings FILE      what reading FILE costs, as a line of JSON
 """
 
 from __future__ import annotations
--- a/rushweir/lab/scale/runner.py
+++ b/rushweir/lab/scale/runner.py
@@ -101,6 +101,7 @@
 
 def revision() -> str:
     """Of the checkout that this runs from, with ``+`` where it was changed; nothing where there is none."""
+
     def git(*args: str) -> str:
         done = subprocess.run(["git", *args], cwd=Path(__file__).parent, capture_output=True, text=True, check=False)
         return done.stdout.strip() if done.returncode == 0 else ""
--- a/rushweir/lab/scale/worker.py
+++ b/rushweir/lab/scale/worker.py
@@ -108,8 +108,16 @@
         for file in first["files"]:
             started.append(
                 await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "rushweir", "serve", "--log", "json", file,
-                    stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=errors,
+                    sys.executable,
+                    "-m",
+                    "rushweir",
+                    "serve",
+                    "--log",
+                    "json",
+                    file,
+                    stdin=asyncio.subprocess.DEVNULL,
+                    stdout=asyncio.subprocess.PIPE,
+                    stderr=errors,
                 )  # fmt: skip
             )
     say(ready=[p.pid for p in started])
--- a/rushweir/lab/sim/rollout_days.py
+++ b/rushweir/lab/sim/rollout_days.py
@@ -220,7 +220,7 @@
         rng = random.Random(seed)
         keys = rng.sample(self.names, len(self.names) // 2)
         self.world.commit(tuple(Change(k, self._data()) for k in keys))
-        self.world.commit(tuple(Change(k, None) for k in keys[:: 3]))
+        self.world.commit(tuple(Change(k, None) for k in keys[::3]))
 
     def alter(self, seed: int, ms: float) -> None:
         self._noise("alter", 0.05, ms)
--- a/rushweir/lab/sim/rollout_world.py
+++ b/rushweir/lab/sim/rollout_world.py
@@ -396,5 +396,3 @@
                     c.core.set_current(now, False)
             self.tend(c)
         self.later(LOG_MS, self._logs)
-
-
--- a/rushweir/lab/standins/model.py
+++ b/rushweir/lab/standins/model.py
@@ -123,7 +123,6 @@
             self.fallen = True
 
 
-
 class KeyMemory:
     """The keys that the nodes of one room remember, each for ``window_ms`` from its first arrival."""
 
--- a/rushweir/lab/standins/nodelist.py
+++ b/rushweir/lab/standins/nodelist.py
@@ -69,9 +69,7 @@
             peer.send(text[: len(text) // 2])
             return
         full = params["scope"] == "full"
-        since = {
-            e["address"]: e["online_since_ms"] - self.offset for e in params["servers"] if e["online_since_ms"]
-        }
+        since = {e["address"]: e["online_since_ms"] - self.offset for e in params["servers"] if e["online_since_ms"]}
         self.records.note("told", ingress=peer.ingress, full=full, states=states, since=since)
         peer.send(text)
 
--- a/rushweir/rollout/control_proposals.py
+++ b/rushweir/rollout/control_proposals.py
@@ -1,10 +1,10 @@
 """Proposals of changes: refused, or waiting to come into force. No I/O, no clock.
 
-    from     event                                    answer
-    -        not a leader; too many wait; a bad step  why not
-    -        an object changed since the base         why not, with the object's name
-    OPEN     its step is in force                     the number
-    OPEN     the process leads no more                unsure: others may have it, and it may come into force
+from     event                                    answer
+-        not a leader; too many wait; a bad step  why not
+-        an object changed since the base         why not, with the object's name
+OPEN     its step is in force                     the number
+OPEN     the process leads no more                unsure: others may have it, and it may come into force
 """
 
 from __future__ import annotations
@@ -47,8 +47,13 @@
         if c.outdated:
             return "the disk of this control process is an older copy than what it told: it takes part no more"
         if c.election.role is not LEADER:
-            return "this control process does not lead" if c.leader != NOBODY else (
-                "no majority: this control process reaches no leader that a majority follows; nothing is changed")
+            return (
+                "this control process does not lead"
+                if c.leader != NOBODY
+                else (
+                    "no majority: this control process reaches no leader that a majority follows; nothing is changed"
+                )
+            )
         if len(self.open) >= MOST_OPEN or self._open_bytes() > MOST_OPEN_BYTES:
             return f"{len(self.open)} changes wait already"
         if len(author) > MOST_AUTHOR:
--- a/rushweir/state.py
+++ b/rushweir/state.py
@@ -225,9 +225,7 @@
         return False
 
 
-def listed(
-    servers: dict[str, Backend], event: i.Members, make: Callable[[i.Server], Backend]
-) -> dict[str, Backend]:
+def listed(servers: dict[str, Backend], event: i.Members, make: Callable[[i.Server], Backend]) -> dict[str, Backend]:
     """The servers after a change of the list; one that started anew is a new one."""
     new = {} if event.scope in (i.Scope.FULL, i.Scope.CACHED) else dict(servers)
     for e in event.servers:
--- a/rushweir/wirehost.py
+++ b/rushweir/wirehost.py
@@ -66,9 +66,7 @@
     "SUM": lambda m: i.Counted(
         m.get("counter", 0), RESULTS[m["stateCode"]], m.get("value", 0), m.get("spentMs", 0.0)
     ),
-    "HEALTH": lambda m: i.Probed(
-        m["backend"], RESULTS[m["stateCode"]], m.get("spentMs", 0.0), m.get("load")
-    ),
+    "HEALTH": lambda m: i.Probed(m["backend"], RESULTS[m["stateCode"]], m.get("spentMs", 0.0), m.get("load")),
 }
 
 ACTIONS: dict[type, Callable[[Any], Fields]] = {
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -123,7 +123,9 @@
     assert {(c["path"][0], c["after"]) for c in differ(old, without)} == {("partner", None)}
 
 
-PRICES = BASE + """\
+PRICES = (
+    BASE
+    + """\
 limits {
     largest-request 20
 }
@@ -144,6 +146,7 @@
     most 4
 }
 """
+)
 
 
 def test_prices(tmp_path):
--- a/tests/ingress/test_hard_cases.py
+++ b/tests/ingress/test_hard_cases.py
@@ -54,6 +54,7 @@
         assert p.arrivals(node=drained.address), "work rides on it"
         p.list.set(drained.address, "draining")
         told = p.records.kept[-1]["t"]
+
         async def again(client):
             for _ in range(12):
                 await client.ask("position", {"data": {"work": 20}})
--- a/tests/lab/scale/test_short.py
+++ b/tests/lab/scale/test_short.py
@@ -23,6 +23,7 @@
 
 def played(scenes: dict[int, int], times: Times, plants: tuple[str, ...] = ()) -> list[dict[str, Any]]:
     """Fleets of so many members, of whom so many are real, beside each other: nothing in them is timed."""
+
     async def all_of_them() -> list[dict[str, Any]]:
         runs = (run(Scene(n, real, per_s=5.0), times, print, plants) for n, real in scenes.items())
         return await asyncio.gather(*runs)
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -34,6 +34,7 @@
 @pytest.fixture(autouse=True)
 def once(monkeypatch: pytest.MonkeyPatch) -> None:
     """No time is judged here: what is timed is done once."""
+
     def done(work: Callable[[], object], repeats: int = 1) -> float:
         work()
         return 0.0
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -177,4 +177,3 @@
 @pytest.fixture
 def scene() -> Scene:
     return Scene()
-
--- a/tests/test_quota_mail.py
+++ b/tests/test_quota_mail.py
@@ -167,9 +167,7 @@
         net.run(10.0)
     store = store_of(net)
     before = store.ceiling
-    net.nodes[keeper_of(net)].do(
-        i.PeerMessage(door, b85encode(ENTRY.pack(DONE, 4, crc32(b"c"), 4.0, 0, 0)).decode())
-    )
+    net.nodes[keeper_of(net)].do(i.PeerMessage(door, b85encode(ENTRY.pack(DONE, 4, crc32(b"c"), 4.0, 0, 0)).decode()))
     assert store.ceiling == before
 
 
