--- a/Makefile
+++ b/Makefile
@@ -21,6 +21,7 @@
 
 lint: .venv/.dev
 	$(BIN)/ruff check .
+	$(BIN)/ruff format --check .
 	$(BIN)/lint-imports --no-cache
 
 # Four workers, by the lanes of tests/lanes.py; `pytest` alone runs all in one.
