--- a/rushweir/config/compact.py
+++ b/rushweir/config/compact.py
@@ -149,7 +149,7 @@
     def adopt(self, delta: Delta) -> None:
         """Take a delta over."""
         self.places = delta.places
-        dropped = [self.held.drop(name) for name in delta.gone]
+        dropped = [self.held.remove(name) for name in delta.gone]
         for name, (record, _) in delta.put.items():
             self.held.put(name, *record)
         self.placed(delta, dropped)
--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -89,7 +89,7 @@
     if reading.problems or reading.file is None:
         raise reading.error()
     groups = reading.groups
-    groups["partners"].held.everywhere = reading.file.ingress[1]
+    groups["partners"].held.ingress_count = reading.file.ingress[1]
     config = Config(reading.file.model_copy(update=groups), path.parent, None, reading.spots, (path,), seat)
     few = [Change(key, data) for key, data in kept if path_of(key)[0] not in MANY]
     many = (Change(key, data) for key, data in kept if path_of(key)[0] in MANY)
@@ -107,7 +107,7 @@
         checks.users(config.file.console, config.base, reading.spots, problems)
     if problems:
         raise reading.reader.error(problems)
-    groups["partners"].held.acting = _partners(config)
+    groups["partners"].held.overrides = _partners(config)
     return replace(config, peer_key=peer_key, files=(path, *reading.reader.files))
 
 
@@ -332,7 +332,7 @@
         setup.front.costs.routes = routed.routes
     known, new = prepared.beside, prepared.config
     if new.ways != known.ways:
-        partners.held.acting = _partners(new)
+        partners.held.overrides = _partners(new)
     usage = core.watch.usage
     usage.change(prepared.plans, mine.gone)
     usage.source = partners.held  # as it is by now
--- a/rushweir/config/load.py
+++ b/rushweir/config/load.py
@@ -206,7 +206,7 @@
     peer_key = None
     if file is not None:
         if reading.fresh:
-            groups["partners"].held.everywhere = file.ingress[1]
+            groups["partners"].held.ingress_count = file.ingress[1]
         file = file.model_copy(update={**(others or {}), **groups})
         problems += checks.across(file, reading.spots, reading.deltas) + reading.late
         peer_key = checks.key(file.peers, reading.base, reading.spots, problems) if file.peers else None
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -80,7 +80,7 @@
 
     def __init__(self, shared: Shared) -> None:
         self.shared, self.reader = shared, RequestReader()
-        self.state, self.end, self.leaving = HEAD, False, ""
+        self.state, self.end, self.refusal_reason = HEAD, False, ""
         self.queue: list[tuple[Message, float]] = []  # whole, and when they were: a client's time counts from there
         self.fault: Malformed | None = None  # told when what came before it is answered
         self.current: bytes | None = None  # the id of the request under way
@@ -99,17 +99,17 @@
         return self.current is None and not self.end and bool(self.queue or self.fault)
 
     @property
-    def partial(self) -> int:
+    def partial_message(self) -> int:
         """The number of the message that has begun and is not whole; 0: none."""
         return self.reader.begun if self.reader.message is not None and not self.end else 0
 
     @property
-    def engaged(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether a request is under way, waits, or has begun: its last byte may come in this very moment."""
-        return self.current is not None or self.backlog or self.partial > 0
+        return self.current is not None or self.backlog or self.partial_message > 0
 
-    def spare(self, quiet_ms: float) -> bool:
-        return not self.engaged and quiet_ms > QUIET_MS
+    def is_idle(self, quiet_ms: float) -> bool:
+        return not self.is_busy and quiet_ms > QUIET_MS
 
     def receive(self, data: bytes) -> list[tuple[bytes, Ask]]:
         """Take in bytes; returns the request that is under way from now on, if there is a new one."""
@@ -239,9 +239,9 @@
         # Clients may hold only so many connections, and some ask once and keep theirs for good: those answered while
         # many are open go, so that others find one left.
         crowded = self.shared.spoken > self.shared.kept
-        leave = crowded or bool(self.leaving) or self.shared.closing()
+        leave = crowded or bool(self.refusal_reason) or self.shared.closing()
         # Not while more was sent ahead, or has begun: the close would take it along.
-        last = not self.keep or (leave and not (self.queue or self.fault or self.partial))
+        last = not self.keep or (leave and not (self.queue or self.fault or self.partial_message))
         head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n" % (
             status, REASONS.get(status, "Error").encode(), len(body), more, b"Connection: close\r\n" if last else b"",
         )  # fmt: skip
@@ -257,7 +257,7 @@
 
     # --- what the core wants ---------------------------------------------------------------------
 
-    def turn_away(self) -> None:
+    def reject(self) -> None:
         self._last(503, b"no more connections")
 
     def forbid(self) -> None:
@@ -282,7 +282,7 @@
 
     def close(self, code: int, reason: str) -> None:
         """The ingress goes away: who has begun a request is told that nothing was done; others see the end."""
-        if self.engaged:
+        if self.is_busy:
             self._last(503, reason.encode())
         else:
             self.fail(code, reason)
@@ -292,7 +292,7 @@
 
     def refuse_new(self, why: str) -> None:
         """From now on each answer is the connection's last. What still comes is taken and answered."""
-        self.leaving = why
+        self.refusal_reason = why
 
 
 def _customer(query: bytes) -> str:
--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -35,12 +35,12 @@
 class Credentials:
     """All partners, and the digests of their credentials. Iterated: name and plan of each."""
 
-    __slots__ = ("acting", "digests", "doors", "everywhere", "free", "kept", "names", "plans", "slots", "users")
+    __slots__ = ("overrides", "digests", "doors", "ingress_count", "free", "kept", "names", "plans", "slots", "users")
 
-    def __init__(self, by_digest: Mapping[str, Partner] | None = None, everywhere: int = 1) -> None:
-        """``everywhere``: how many ingresses there are, for partners that may use all."""
-        self.everywhere = everywhere
-        self.acting: Mapping[str, Partner] = {}  # partners whose requests are counted otherwise for now
+    def __init__(self, by_digest: Mapping[str, Partner] | None = None, ingress_count: int = 1) -> None:
+        """``ingress_count``: how many ingresses there are, for partners that may use all."""
+        self.ingress_count = ingress_count
+        self.overrides: Mapping[str, Partner] = {}  # partners whose requests are counted otherwise for now
         self.slots: dict[str, int] = {}
         self.names: list[str] = []  # by slot; "": free
         self.plans: list[str] = []
@@ -52,7 +52,7 @@
         for key, p in (by_digest or {}).items():
             self.put(p.name, p.plan, bytes.fromhex(key.removeprefix("sha256:")), (p.first, p.spread))
 
-    def partner(self, header: str | None) -> Partner | None:
+    def authenticate(self, header: str | None) -> Partner | None:
         """The partner that an Authorization header proves; None where it proves none.
 
         The credential is looked up by its digest, and the digest found is compared in constant time: what a
@@ -66,15 +66,15 @@
             return None
         return self._made(slot)
 
-    def named(self, name: str) -> Partner | None:
+    def partner_named(self, name: str) -> Partner | None:
         slot = self.slots.get(name)
         return None if slot is None else self._made(slot)
 
     def _made(self, slot: int) -> Partner:
-        if self.acting and (other := self.acting.get(self.names[slot])) is not None:
+        if self.overrides and (other := self.overrides.get(self.names[slot])) is not None:
             return other
         first, spread = self.doors[slot]
-        return Partner(self.names[slot], self.plans[slot], spread or self.everywhere, first)
+        return Partner(self.names[slot], self.plans[slot], spread or self.ingress_count, first)
 
     def put(self, name: str, plan: str, key: bytes, doors: tuple[int, int]) -> int:
         """A partner that is new or changed; its slot. The digest must be nobody else's."""
@@ -96,7 +96,7 @@
         self.users[plan] += 1
         return slot
 
-    def drop(self, name: str) -> int:
+    def remove(self, name: str) -> int:
         """A partner that is no more; the slot that it had."""
         slot = self.slots.pop(name)
         if self.digests.get(self.kept[slot]) == slot:
@@ -113,8 +113,8 @@
 
     def copy(self) -> Credentials:
         """For changes to many, made beside the loop."""
-        other = Credentials(None, self.everywhere)
-        other.acting = self.acting
+        other = Credentials(None, self.ingress_count)
+        other.overrides = self.overrides
         for part in ("slots", "names", "plans", "doors", "kept", "digests", "free", "users"):
             setattr(other, part, getattr(self, part).copy())
         return other
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -40,7 +40,7 @@
     """One connection of the front. Bytes in by ``receive``; bytes out by ``take``; requests by ``asked``."""
 
     backlog = False  # requests come one by one as they are read
-    partial = 0  # a message under way is watched by pings
+    partial_message = 0  # a message under way is watched by pings
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.asked: list[tuple[Ref, Ask]] = []
         self.raw: list[bytes] = []  # HTTP answers
         self.end = False
-        self.leaving = ""  # why requests are refused from now on
+        self.refusal_reason = ""  # why requests are refused from now on
         self.notifications = 0
         self.problems = 0  # messages answered with an error of the protocol's own
 
@@ -78,10 +78,10 @@
         return asked
 
     @property
-    def engaged(self) -> bool:
+    def is_busy(self) -> bool:
         return bool(self.open_ids)
 
-    def spare(self, quiet_ms: float) -> bool:
+    def is_idle(self, quiet_ms: float) -> bool:
         """A partner's connection is never given up for another's."""
         return False
 
@@ -129,7 +129,7 @@
         if path != self.settings.path:
             self._plain(404, "no such path")
             return
-        self.partner = self.credentials().partner((authorization or b"").decode("latin-1"))
+        self.partner = self.credentials().authenticate((authorization or b"").decode("latin-1"))
         if self.partner is None:
             # RFC 6750, 3: the challenge names the scheme; before the upgrade, so nothing is spent on strangers.
             self._plain(401, "a partner's bearer credential is needed", [("WWW-Authenticate", "Bearer")])
@@ -265,8 +265,8 @@
             raise rpc.RpcError(
                 rpc.INVALID_REQUEST, "id: a request with this id is open", None, {"id": call.id, "reason": "open_id"}
             )
-        if self.leaving or len(self.open_ids) >= self.settings.max_open:
-            why = self.leaving or "connection_full"
+        if self.refusal_reason or len(self.open_ids) >= self.settings.max_open:
+            why = self.refusal_reason or "connection_full"
             data = {"reason": why, "repeat": "harmless", "retry_after_ms": 0}
             raise rpc.RpcError(rpc.REFUSED, f"refused: {why}", call.id, data)
         params = {} if call.params is None else call.params
@@ -339,7 +339,7 @@
         if self.messages is not None:
             self.messages.ping()
 
-    def turn_away(self) -> None:
+    def reject(self) -> None:
         """Answer a connection that there is no room for, before it says anything."""
         self._plain(503, "no room for more connections", [("Retry-After", "1")])
 
@@ -353,7 +353,7 @@
 
     def refuse_new(self, why: str) -> None:
         """From now on requests are refused, with this reason."""
-        self.leaving = self.leaving or why
+        self.refusal_reason = self.refusal_reason or why
 
     def close(self, code: int, reason: str) -> None:
         """Start the closing handshake; a connection that is no WebSocket yet just ends."""
--- a/rushweir/ingress/clients.py
+++ b/rushweir/ingress/clients.py
@@ -52,7 +52,7 @@
         full = len(self.open) > self.core.setup.most_clients or not self.core.overload.takes_connections()
         if self.core.stopping or full:
             self.counts["turned_away"] += 1
-            front.turn_away()
+            front.reject()
             self._flush(client)
         elif address and (nets := self.core.setup.client_networks) is not None and not nets.allows(address):
             self.counts["strange_networks"] += 1
@@ -75,7 +75,7 @@
         self._take(client, client.front.receive(data))
         if was_head and client.front.state is not HEAD:
             self._head_done(client)
-        if (part := client.front.partial) > client.timed:
+        if (part := client.front.partial_message) > client.timed:
             # A message begun late on a connection is to end in time too.
             client.timed = part
             self.engine.at(self.core.now + self.core.setup.handshake_ms, self._part_late, (client, part))
@@ -95,7 +95,7 @@
 
     def _part_late(self, what: tuple[Client, int]) -> None:
         client, part = what
-        if client.front.partial == part and not client.ended and client.conn in self.open:
+        if client.front.partial_message == part and not client.ended and client.conn in self.open:
             self.counts["slow_messages"] += 1
             client.front.time_out()
             self._flush(client)
@@ -105,7 +105,7 @@
         request under way, nor one that just asked; one that never said a word goes before one that did."""
         # Who has its last answer and lingers goes first: a crowd that is turned away filled the bound by lingering.
         others = [k for k in self.open.values() if k is not new]
-        spare = [k for k in others if k.ended or k.front.spare(self.core.now - k.quiet_at)]
+        spare = [k for k in others if k.ended or k.front.is_idle(self.core.now - k.quiet_at)]
         spare.sort(key=lambda k: (not k.ended, k.heard > 0, k.quiet_at))
         # As many as are above the bound: one for each newcomer left those above it there, and all were turned away.
         for oldest in spare[: len(self.open) - self.core.setup.most_clients]:
@@ -179,7 +179,7 @@
         client, idle = what
         if client.ended or client.conn not in self.open:
             return
-        due = (self.core.now if client.front.engaged else client.quiet_at) + idle
+        due = (self.core.now if client.front.is_busy else client.quiet_at) + idle
         if due > self.core.now:
             self.engine.at(due, self._idle_http, what)
         else:
@@ -223,7 +223,7 @@
         if client.front.backlog:
             self._take(client, client.front.receive(b""))
         self._flush(client)
-        if client.front.leaving or self.core.moving:
+        if client.front.refusal_reason or self.core.moving:
             self.leave_if_idle(client)
 
     def leave_if_idle(self, client: Client) -> None:
@@ -237,12 +237,12 @@
         if client.ended or client.conn not in self.open:
             return
         # A request that has begun becomes whole, and is answered, or is told in time that it did not.
-        quiet = client.heard == heard and not client.front.engaged
+        quiet = client.heard == heard and not client.front.is_busy
         self.leave(client) if quiet else self.leave_if_idle(client)
 
     def leave(self, client: Client) -> None:
         """Going away, or, where it is only this client that must go, a policy's ground (RFC 6455, 7.4.1)."""
-        gone = client.front.leaving == "partner_gone"
+        gone = client.front.refusal_reason == "partner_gone"
         code = POLICY_VIOLATION if gone else GOING_AWAY
         client.front.close(code, "partner no longer known" if gone else "ingress stops")
         self._flush(client)
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -354,7 +354,7 @@
         """Whether nobody waits: no answer is owed, nobody is in the middle of a request, and each client was told to
         go, or came after the end began."""
         return self.engine.ledger.owed == 0 and all(
-            k.ended or (k.front.state in (CLOSING, HEAD, HTTP) and not k.front.partial)
+            k.ended or (k.front.state in (CLOSING, HEAD, HTTP) and not k.front.partial_message)
             for k in self.clients.open.values()
         )
 
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -77,7 +77,7 @@
         is idle, which a busy one never is; and between the two nothing must fill by the one of each."""
         quota = getattr(core.engine.policy, "quota", None)
         for name in names if quota is not None else ():
-            c, partner = quota.customers.get(crc32(name.encode())), self.credentials.named(name)
+            c, partner = quota.customers.get(crc32(name.encode())), self.credentials.partner_named(name)
             if c is None or partner is None:
                 continue
             quota.move(c, partner.plan, now)
@@ -110,7 +110,7 @@
 
     def _look(self, core: base.Core, client: Client) -> None:
         front = client.front
-        new = self.credentials.named(front.partner.name)
+        new = self.credentials.partner_named(front.partner.name)
         if new is not None:
             front.partner = new
         else:
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -30,7 +30,7 @@
 class Front:
     """A connection's front that takes requests as they are, and answers nobody."""
 
-    state, partner, partial, backlog, leaving, engaged = OPEN, None, 0, 0, "", False
+    state, partner, partial_message, backlog, refusal_reason, is_busy = OPEN, None, 0, 0, "", False
 
     def __init__(self) -> None:
         self.open_ids: set[Any] = set()
@@ -45,7 +45,7 @@
     def take(self) -> tuple[list[bytes], bool]:
         return [], False
 
-    def spare(self, quiet_ms: float) -> bool:
+    def is_idle(self, quiet_ms: float) -> bool:
         return False
 
     def receive_eof(self) -> None: ...
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -21,7 +21,7 @@
         first, last = halves(booking())
         half, idle = await p.client(), await p.client()
         await p.say(half, first)
-        await p.until(lambda: any(k.front.partial for k in p.core.clients.open.values()))
+        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
         p.core.leave(p.shell.clock(), p.core.setup.settings)
         p.shell.carry_out()
         assert await p.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
@@ -41,7 +41,7 @@
     async def scenario(p):
         half = await p.client()
         await p.say(half, halves(booking())[0])
-        await p.until(lambda: any(k.front.partial for k in p.core.clients.open.values()))
+        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
         stopping = asyncio.create_task(p.shell.stop(0.0))
         assert (await p.read(half))[0] == 503
         half.close()
@@ -57,7 +57,7 @@
         first, last = halves(booking())
         half = await p.client()
         await p.say(half, first)
-        await p.until(lambda: any(k.front.partial for k in p.core.clients.open.values()))
+        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
         idle = await p.client()
         for client in p.core.clients.open.values():
             client.quiet_at -= 1_000.0  # both are quiet for long; the half one for longer
@@ -77,7 +77,7 @@
         assert (await p.read(sock))[0] == 200
         client = next(iter(p.core.clients.open.values()))
         await p.say(sock, first)
-        await p.until(lambda: client.front.partial)
+        await p.until(lambda: client.front.partial_message)
         client.quiet_at -= 5_000.0
         p.core.clients._idle_http((client, 1_000.0))  # the timer, at this instant
         p.shell.carry_out()
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_owed.py
@@ -83,7 +83,7 @@
 
 
 def forgets_halves(monkeypatch):
-    monkeypatch.setattr(ClientConnection, "engaged", property(lambda self: self.current is not None))
+    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.current is not None))
 
 
 def sends_for_nobody(monkeypatch):
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -339,7 +339,7 @@
 def test_credentials():
     token = new_credential()
     known = Credentials({digest(token): Partner("a", "p")})
-    assert known.partner(f"Bearer {token}") == Partner("a", "p")
+    assert known.authenticate(f"Bearer {token}") == Partner("a", "p")
     assert token not in repr(known)
     for wrong in (None, "", token, f"Bearer {token}x", f"Bearer  {token} ", f"Bearer {digest(token)}"):
-        assert known.partner(wrong) is None or wrong == f"Bearer  {token} "
+        assert known.authenticate(wrong) is None or wrong == f"Bearer  {token} "
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -76,7 +76,7 @@
         held = self.core.setup.credentials
         rules = self.core.setup.front.costs
         return (
-            dict(objects(self.config)), {n: held.named(n) for n in (*NAMES, "x")}, held.by_digest,
+            dict(objects(self.config)), {n: held.partner_named(n) for n in (*NAMES, "x")}, held.by_digest,
             dict(usage.index.keys() and {n: usage.row(n)["plan"] for n in usage.index}), usage.sorted,
             {r.name: r for r in rules.routes} if rules else None, self.core.setup.settings, dict(held.users),
         )  # fmt: skip
@@ -135,7 +135,7 @@
     g = Ingress(text_of("a", "b"))
     one, other = g.client("a"), g.client("b")
     g.step(drop("partner", "a"))
-    assert (one.leaving, other.leaving) == ("partner_gone", "")
+    assert (one.refusal_reason, other.refusal_reason) == ("partner_gone", "")
     assert g.client("a").partner is None and "a" not in g.core.watch.usage.index
     g.core.advance(g.now + 200.0)
     assert g.core.counts["partners_gone"] == 1
@@ -328,7 +328,11 @@
     own.write_text(HEAD)
     made = live.assemble(own, list(objects(g.config)), 1, Between.load(g.config.between.dump()))
     assert made.ways == g.config.ways and set(made.ways) == {"a"} and made.made == g.config.made
-    assert made.setup().credentials.named("a") == g.core.setup.credentials.named("a") != Partner("a", "gold", 2, 0)
+    assert (
+        made.setup().credentials.partner_named("a")
+        == g.core.setup.credentials.partner_named("a")
+        != Partner("a", "gold", 2, 0)
+    )
 
 
 def test_a_reload_of_the_own_file_leaves_the_objects_and_takes_none(tmp_path):
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -66,7 +66,7 @@
         self.take(*live.settled(self.config, version), now)
 
     def ask(self, name: str, now: float) -> None:
-        p = self.core.setup.credentials.named(name)
+        p = self.core.setup.credentials.partner_named(name)
         if p is not None:
             self.world.serial += 1
             rid = f"{self.me}-{self.world.serial}"
@@ -256,11 +256,11 @@
     # The old door 0 goes on with its part and the keeper's; 1 has what it owns of both, 2 nothing yet.
     assert over(w.spent["a"], 40, 20) <= 1
     assert w.gateways[2].config.ways["a"].plan == CLOSED and w.gateways[1].config.ways["a"].plan.startswith(CLOSED)
-    assert w.gateways[1].core.setup.credentials.named("a").spread == 1
+    assert w.gateways[1].core.setup.credentials.partner_named("a").spread == 1
     w.gateways[0].step([partner("a", "tin", 1, 2)], 1, w.now)
     for g in w.gateways:
         g.settled(1, w.now)
-        assert g.core.setup.credentials.named("a").plan == "tin"
+        assert g.core.setup.credentials.partner_named("a").plan == "tin"
 
 
 # --- the decisions alone --------------------------------------------------------------------------------
--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -103,15 +103,18 @@
 
 
 def test_slots_are_used_again_and_hold_nothing_of_who_had_them():
-    held = Credentials({digest("a"): Partner("a", "p", 2, 1)}, everywhere=4)
+    held = Credentials({digest("a"): Partner("a", "p", 2, 1)}, ingress_count=4)
     slot = held.slots["a"]
-    held.drop("a")
-    assert not held.digests and not held.users and held.partner("Bearer a") is None and len(held) == 0
+    held.remove("a")
+    assert not held.digests and not held.users and held.authenticate("Bearer a") is None and len(held) == 0
     assert held.put("b", "q", bytes.fromhex(digest("b")[7:]), (0, 0)) == slot
-    assert held.partner("Bearer b") == Partner("b", "q", 4, 0) == held.named("b") and held.named("a") is None
+    assert (
+        held.authenticate("Bearer b") == Partner("b", "q", 4, 0) == held.partner_named("b")
+        and held.partner_named("a") is None
+    )
     copy = held.copy()
-    copy.drop("b")
-    assert held.named("b") is not None and dict(held) == {"b": "q"}
+    copy.remove("b")
+    assert held.partner_named("b") is not None and dict(held) == {"b": "q"}
 
 
 def test_groups_know_where_their_objects_stand():
