--- a/rushweir/fronts/__init__.py
+++ b/rushweir/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols, without I/O. A front understands what a client says and words the engine's answers."""
+"""Client protocols, without I/O: a front parses what a client sends and formats the engine's answers."""
--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -1,7 +1,7 @@
-"""Who a client is: bearer credentials (RFC 6750), kept as digests only. No I/O.
+"""Authenticates clients by bearer credentials (RFC 6750), of which only digests are stored. No I/O.
 
-All partners stand in slots: a name, a shared plan name, a shared pair of doors, 32 bytes of digest, so that 16,000 of
-them take some 4 MB and one that changes touches its own slot alone. A record of a partner is made for whoever asks.
+Partners are stored in numbered slots: a name, an interned plan name, the range of gateways and 32 bytes of digest, so
+that 16,000 partners take about 4 MB and a change touches one slot. ``Partner`` records are created on request.
 """
 
 from __future__ import annotations
@@ -19,44 +19,45 @@
 # RFC 6750, 2.1: b64token = 1*( ALPHA / DIGIT / "-" / "." / "_" / "~" / "+" / "/" ) *"="
 BEARER = re.compile(r"(?i:bearer) +([A-Za-z0-9\-._~+/]{1,512}=*)\s*\Z")
 DIGEST = re.compile(r"sha256:([0-9a-f]{64})\Z")
-ALL = (0, 0)  # doors: all ingresses
+ALL_INGRESSES = (0, 0)  # the range of gateways of a partner that may use every ingress
 
 
 def new_credential() -> str:
-    """A fresh credential of 256 random bits: enough that a plain digest of it can't be searched back."""
+    """Returns a new credential of 256 random bits, so that a plain digest of it can't be reversed by search."""
     return secrets.token_urlsafe(32)
 
 
 def digest(credential: str) -> str:
-    """What the settings hold in place of a credential."""
+    """Returns the digest that the settings store in place of a credential."""
     return "sha256:" + sha256(credential.encode()).hexdigest()
 
 
 class Credentials:
-    """All partners, and the digests of their credentials. Iterated: name and plan of each."""
+    """All partners and the digests of their credentials. Iteration yields the name and plan of each partner."""
 
     __slots__ = ("overrides", "digests", "doors", "ingress_count", "free", "kept", "names", "plans", "slots", "users")
 
     def __init__(self, by_digest: Mapping[str, Partner] | None = None, ingress_count: int = 1) -> None:
-        """``ingress_count``: how many ingresses there are, for partners that may use all."""
+        """``ingress_count``: the number of ingresses, for partners that may use all of them."""
         self.ingress_count = ingress_count
-        self.overrides: Mapping[str, Partner] = {}  # partners whose requests are counted otherwise for now
-        self.slots: dict[str, int] = {}
-        self.names: list[str] = []  # by slot; "": free
-        self.plans: list[str] = []
-        self.doors: list[tuple[int, int]] = []  # the first, and how many from it on; ALL: all
-        self.kept: list[bytes] = []
-        self.digests: dict[bytes, int] = {}
-        self.free: list[int] = []
-        self.users: Counter[str] = Counter()  # partners of each plan
-        for key, p in (by_digest or {}).items():
-            self.put(p.name, p.plan, bytes.fromhex(key.removeprefix("sha256:")), (p.first, p.spread))
+        self.overrides: Mapping[str, Partner] = {}  # partners that are temporarily counted differently
+        self.slots: dict[str, int] = {}  # by name
+        self.names: list[str] = []  # by slot; "" where the slot is free
+        self.plans: list[str] = []  # by slot
+        self.doors: list[tuple[int, int]] = []  # by slot: the first gateway, and how many from it on
+        self.kept: list[bytes] = []  # digests by slot
+        self.digests: dict[bytes, int] = {}  # slots by digest
+        self.free: list[int] = []  # slots
+        self.users: Counter[str] = Counter()  # number of partners of each plan
+        for key, partner in (by_digest or {}).items():
+            key_digest = bytes.fromhex(key.removeprefix("sha256:"))
+            self.put(partner.name, partner.plan, key_digest, (partner.first, partner.spread))
 
     def authenticate(self, header: str | None) -> Partner | None:
-        """The partner that an Authorization header proves; None where it proves none.
+        """Returns the partner that an Authorization header authenticates, or None.
 
-        The credential is looked up by its digest, and the digest found is compared in constant time: what a
-        look-up's time could tell is a digest's first bytes, which a guesser can't steer."""
+        The credential is looked up by its digest, and the digest found is compared in constant time. The time of the
+        look-up could only reveal the first bytes of a digest, which an attacker can't choose."""
         found = BEARER.match(header or "")
         if found is None:
             return None
@@ -64,59 +65,61 @@
         slot = self.digests.get(given)
         if slot is None or not hmac.compare_digest(self.kept[slot], given):
             return None
-        return self._made(slot)
+        return self._partner_in_slot(slot)
 
     def partner_named(self, name: str) -> Partner | None:
+        """Returns the partner of that name, or None."""
         slot = self.slots.get(name)
-        return None if slot is None else self._made(slot)
+        return None if slot is None else self._partner_in_slot(slot)
 
-    def _made(self, slot: int) -> Partner:
+    def _partner_in_slot(self, slot: int) -> Partner:
         if self.overrides and (other := self.overrides.get(self.names[slot])) is not None:
             return other
         first, spread = self.doors[slot]
         return Partner(self.names[slot], self.plans[slot], spread or self.ingress_count, first)
 
-    def put(self, name: str, plan: str, key: bytes, doors: tuple[int, int]) -> int:
-        """A partner that is new or changed; its slot. The digest must be nobody else's."""
-        plan, doors = sys.intern(plan), ALL if doors == ALL else doors
+    def put(self, name: str, plan: str, key: bytes, gateways: tuple[int, int]) -> int:
+        """Adds or replaces a partner and returns its slot. The digest ``key`` must not belong to another partner."""
+        plan = sys.intern(plan)
+        gateways = ALL_INGRESSES if gateways == ALL_INGRESSES else gateways  # one shared tuple
         slot = self.slots.get(name)
         if slot is not None:
-            self._left(self.plans[slot])
-            if self.digests.get(self.kept[slot]) == slot:  # else another that changed with it has it already
+            self._uncount_plan(self.plans[slot])
+            if self.digests.get(self.kept[slot]) == slot:  # otherwise a partner changed in the same update has it
                 del self.digests[self.kept[slot]]
-            self.plans[slot], self.kept[slot], self.doors[slot] = plan, key, doors
+            self.plans[slot], self.kept[slot], self.doors[slot] = plan, key, gateways
         elif self.free:
             slot = self.slots[name] = self.free.pop()
-            self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = name, plan, key, doors
+            self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = name, plan, key, gateways
         else:
             slot = self.slots[name] = len(self.names)
-            for column, value in ((self.names, name), (self.plans, plan), (self.kept, key), (self.doors, doors)):
+            for column, value in ((self.names, name), (self.plans, plan), (self.kept, key), (self.doors, gateways)):
                 column.append(value)
         self.digests[key] = slot
         self.users[plan] += 1
         return slot
 
     def remove(self, name: str) -> int:
-        """A partner that is no more; the slot that it had."""
+        """Removes a partner and returns the slot that it had."""
         slot = self.slots.pop(name)
         if self.digests.get(self.kept[slot]) == slot:
             del self.digests[self.kept[slot]]
-        self._left(self.plans[slot])
-        self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = "", "", b"", ALL
+        self._uncount_plan(self.plans[slot])
+        self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = "", "", b"", ALL_INGRESSES
         self.free.append(slot)
         return slot
 
-    def _left(self, plan: str) -> None:
+    def _uncount_plan(self, plan: str) -> None:
         self.users[plan] -= 1
         if not self.users[plan]:
             del self.users[plan]
 
     def copy(self) -> Credentials:
-        """For changes to many, made beside the loop."""
+        """Returns a copy, for large changes that are prepared outside the event loop."""
         other = Credentials(None, self.ingress_count)
         other.overrides = self.overrides
-        for part in ("slots", "names", "plans", "doors", "kept", "digests", "free", "users"):
-            setattr(other, part, getattr(self, part).copy())
+        for attribute in ("slots", "names", "plans", "doors", "kept", "digests", "free", "users"):
+            setattr(other, attribute, getattr(self, attribute).copy())
         return other
 
     def __len__(self) -> int:
@@ -127,5 +130,5 @@
 
     @property
     def by_digest(self) -> dict[str, Partner]:
-        """All of them, as a plain table."""
-        return {f"sha256:{self.kept[k].hex()}": self._made(k) for k in self.slots.values()}
+        """All partners by the text form of their digests."""
+        return {f"sha256:{self.kept[slot].hex()}": self._partner_in_slot(slot) for slot in self.slots.values()}
--- a/rushweir/fronts/messages.py
+++ b/rushweir/fronts/messages.py
@@ -1,4 +1,4 @@
-"""The bounds of a WebSocket connection, and where the answers to its messages go. Plain records."""
+"""Limits of a WebSocket connection, and records of where the answers to its messages go."""
 
 from __future__ import annotations
 
@@ -12,47 +12,48 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """Bounds of one client connection; memory for it is at most a message, its open requests and ``buffer``."""
+    """Limits of one client connection. Its memory is at most one message, its open requests and ``buffer``."""
 
     path: str = "/"
-    max_message: int = 262_144  # bytes, inflated
-    max_batch: int = 1000
-    max_open: int = 1024  # requests taken and not yet answered
-    buffer: int = 1_048_576  # bytes of answers that wait for a client that does not read
-    largest_units: float = 1.0
-    costs: CostRules | None = None  # what requests cost; None: each says it, ``units``
+    max_message: int = 262_144  # bytes after decompression
+    max_batch: int = 1000  # messages in one JSON-RPC batch
+    max_open: int = 1024  # requests accepted and not yet answered
+    buffer: int = 1_048_576  # bytes of answers queued for a client that does not read them
+    largest_units: float = 1.0  # most quota units of one request
+    costs: CostRules | None = None  # prices of requests; None: each request states its own ``units``
 
 
-class BatchSlot:
-    """The answers of one batch, sent as one array when the last is there."""
+class BatchAnswers:
+    """Collects the answers of one batch, which are sent as one array once none is missing."""
 
     __slots__ = ("answers", "left")
 
     def __init__(self) -> None:
         self.answers: list[bytes] = []
-        self.left = 0
+        self.left = 0  # answers still missing
 
 
 @dataclass(slots=True)
-class Ref:
-    """Where an answer goes: the request's id, and the batch that it stands in."""
+class RequestRef:
+    """Identifies the request that an answer belongs to: its JSON-RPC id, and its batch if it came in one."""
 
     id: rpc.Id
-    batch: BatchSlot | None
+    batch: BatchAnswers | None
 
 
-def number(value: Any) -> float | None:
-    """A JSON number as a finite float; None for anything else (true and false are no numbers here)."""
+def finite_number(value: Any) -> float | None:
+    """Returns a JSON number as a finite float, and None for anything else, ``true`` and ``false`` included."""
     if type(value) is int or type(value) is float:
         try:
-            number = float(value)
+            converted = float(value)
         except OverflowError:
             return None
-        return number if math.isfinite(number) else None
+        return converted if math.isfinite(converted) else None
     return None
 
 
 def is_utf8(data: bytes) -> bool:
+    """Returns whether the bytes decode as UTF-8."""
     try:
         data.decode()
     except UnicodeDecodeError:
--- a/rushweir/fronts/states.py
+++ b/rushweir/fronts/states.py
@@ -1,6 +1,6 @@
-"""The states of a client's connection that the core looks at, whatever protocol a front speaks."""
+"""States of a client connection that the core distinguishes, whatever protocol its front implements."""
 
-HEAD = "head"  # nothing whole was read yet
-HTTP = "http"  # plain HTTP: answers in order, no word in between
-OPEN = "open"  # the main protocol
-CLOSING = "closing"  # the last answer is on its way
+HEAD = "head"  # no complete message has been read yet
+HTTP = "http"  # plain HTTP: answers in order, no pings
+OPEN = "open"  # the front's main protocol
+CLOSING = "closing"  # the last answer is being sent
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -3,12 +3,12 @@
 A connection begins with an HTTP request head. An upgrade to WebSocket with a partner's credential makes it a
 client connection; anything else is answered as HTTP by h11 (health page, 401, 404, 426).
 
-What a client asks for: method = class, ``params`` an object with the members below, all optional.
+The method of a request is its class, and ``params`` an object with these members, all optional:
 
-    data       what the node gets, unseen by the ingress
-    key        text that marks repeats of one request, for classes that carry a key
-    units      what the request counts in the quota, where no prices are set; else it is not looked at
-    within_ms  how long the client waits; the class's deadline at most
+    data       passed to the node unread
+    key        idempotency key that marks repeats of one request, for classes that carry a key
+    units      quota units of the request where no prices are configured; otherwise ignored
+    within_ms  how long the client waits; at most the class's deadline
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 from rushweir.costs import amounts
 from rushweir.fronts.credentials import Credentials
-from rushweir.fronts.messages import BatchSlot, FrontSettings, Ref, is_utf8, number
+from rushweir.fronts.messages import BatchAnswers, FrontSettings, RequestRef, finite_number, is_utf8
 from rushweir.fronts.states import CLOSING, HEAD, HTTP, OPEN
 from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.commands import Answer, Kind
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
 
-MOST_HEAD = 16384  # bytes of a request head: some proxies add long cookies, nobody needs more
-MOST_KEY = 128
-PARAMS = frozenset({"data", "key", "units", "within_ms"})
+MAX_HEAD_BYTES = 16384  # of a request head: some proxies add long cookies, nothing needs more
+MAX_KEY_LENGTH = 128  # characters
+KNOWN_PARAMS = frozenset({"data", "key", "units", "within_ms"})
 
 
 class ClientConnection:
-    """One connection of the front. Bytes in by ``receive``; bytes out by ``take``; requests by ``asked``."""
+    """One client connection: ``receive`` takes bytes and returns requests, ``take`` returns the bytes to write."""
 
-    backlog = False  # requests come one by one as they are read
-    partial_message = 0  # a message under way is watched by pings
+    backlog = False  # requests are returned as they are read, so that none wait here
+    partial_message = 0  # an incomplete message needs no deadline, since pings detect a silent client
 
     def __init__(
         self,
@@ -55,103 +55,108 @@
         self.http: h11.Connection | None = None
         self.messages: Messages | None = None
         self.open_ids: set[rpc.Id] = set()
-        self.asked: list[tuple[Ref, Ask]] = []
-        self.raw: list[bytes] = []  # HTTP answers
-        self.end = False
-        self.refusal_reason = ""  # why requests are refused from now on
-        self.notifications = 0
-        self.problems = 0  # messages answered with an error of the protocol's own
+        self.new_requests: list[tuple[RequestRef, Ask]] = []
+        self.http_output: list[bytes] = []  # HTTP answers to write
+        self.finished = False
+        self.refusal_reason = ""  # why new requests are refused; "" while they are accepted
+        self.notification_count = 0
+        self.error_count = 0  # messages answered with a JSON-RPC error
 
-    # --- bytes in --------------------------------------------------------------------------------
+    # --- input -----------------------------------------------------------------------------------
 
-    def receive(self, data: bytes) -> list[tuple[Ref, Ask]]:
-        """Take in bytes; returns the requests that they hold, which are then open until ``answer``."""
+    def receive(self, data: bytes) -> list[tuple[RequestRef, Ask]]:
+        """Reads bytes and returns the requests completed by them, which are open until ``answer``."""
         if self.state is HEAD:
-            self._head(data)
+            self._receive_head(data)
         elif self.state is HTTP:
-            self._http(data)
+            self._receive_http(data)
         elif self.messages is not None:
             for text in self.messages.receive(data):
-                self._message(text)
-            self._follow()
-        asked, self.asked = self.asked, []
-        return asked
+                self._handle_message(text)
+            self._update_state()
+        new_requests, self.new_requests = self.new_requests, []
+        return new_requests
 
     @property
     def is_busy(self) -> bool:
+        """Whether a request is open."""
         return bool(self.open_ids)
 
     def is_idle(self, quiet_ms: float) -> bool:
-        """A partner's connection is never given up for another's."""
+        """Returns False: a partner's connection is never closed to make room for another."""
         return False
 
     def receive_eof(self) -> None:
+        """Handles the end of the client's stream."""
         if self.messages is not None:
             self.messages.receive_eof()
-        self.end = True
+        self.finished = True
 
-    def _follow(self) -> None:
+    def _update_state(self) -> None:
         if self.messages is not None and not self.messages.open:
             self.state = CLOSING
 
-    def _head(self, data: bytes) -> None:
-        """Collect the request head; h11 judges it, so that WebSocket and plain HTTP meet one set of checks."""
+    def _receive_head(self, data: bytes) -> None:
+        """Collects the request head. h11 checks it, so that WebSocket and plain HTTP pass the same checks."""
         self.head += data
         if b"\r\n\r\n" not in self.head:
-            if len(self.head) > MOST_HEAD:
-                self._plain(431, "request head too long")
+            if len(self.head) > MAX_HEAD_BYTES:
+                self._send_last_answer(431, "request head too long")
             return
-        probe = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        probe = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
             probe.receive_data(bytes(self.head))
             request = probe.next_event()
         except h11.RemoteProtocolError as problem:
-            self._plain(problem.error_status_hint or 400, str(problem)[:200])
+            self._send_last_answer(problem.error_status_hint or 400, str(problem)[:200])
             return
         if not isinstance(request, h11.Request):
-            self._plain(400, "not an HTTP request")
+            self._send_last_answer(400, "not an HTTP request")
             return
         headers = {name.lower(): value for name, value in request.headers}
         if headers.get(b"upgrade", b"").strip().lower() == b"websocket":
             if headers.get(b"sec-websocket-version", b"13").strip() != b"13":
-                # RFC 6455, 4.4: the answer says which version would do.
-                more = [("Sec-WebSocket-Version", "13"), ("Upgrade", "websocket")]
-                self._plain(426, "version 13 of the protocol", more)
+                # RFC 6455, 4.4: the answer names the supported version.
+                version_headers = [("Sec-WebSocket-Version", "13"), ("Upgrade", "websocket")]
+                self._send_last_answer(426, "version 13 of the protocol", version_headers)
                 return
             self._upgrade(request, headers.get(b"authorization"))
         else:
-            self.state, self.http = HTTP, h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-            data, self.head = bytes(self.head), bytearray()
-            self._http(data)
+            self.state = HTTP
+            self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+            data = bytes(self.head)
+            self.head = bytearray()
+            self._receive_http(data)
 
     def _upgrade(self, request: h11.Request, authorization: bytes | None) -> None:
         path = request.target.split(b"?", 1)[0].decode("latin-1")
         if path != self.settings.path:
-            self._plain(404, "no such path")
+            self._send_last_answer(404, "no such path")
             return
         self.partner = self.credentials().authenticate((authorization or b"").decode("latin-1"))
         if self.partner is None:
-            # RFC 6750, 3: the challenge names the scheme; before the upgrade, so nothing is spent on strangers.
-            self._plain(401, "a partner's bearer credential is needed", [("WWW-Authenticate", "Bearer")])
+            # RFC 6750, 3: the challenge names the scheme. Unauthenticated clients cost no upgrade.
+            self._send_last_answer(401, "a partner's bearer credential is needed", [("WWW-Authenticate", "Bearer")])
             return
-        proto = server_protocol(self.settings.max_message)
+        protocol = server_protocol(self.settings.max_message)
         end = self.head.index(b"\r\n\r\n") + 4
-        proto.receive_data(bytes(self.head[:end]))
-        rest, self.head = bytes(self.head[end:]), bytearray()
-        event = next(iter(proto.events_received()), None)
-        self.messages = Messages(proto)
+        protocol.receive_data(bytes(self.head[:end]))
+        rest = bytes(self.head[end:])
+        self.head = bytearray()
+        event = next(iter(protocol.events_received()), None)
+        self.messages = Messages(protocol)
         if isinstance(event, HttpRequest):
-            proto.send_response(proto.accept(event))
+            protocol.send_response(protocol.accept(event))
         self.state = OPEN
-        self._follow()
-        # Frames that came with the head are read only now that the extensions are agreed (RFC 6455, 9.1).
+        self._update_state()
+        # Frames that arrived with the head are read only after the extensions are negotiated (RFC 6455, 9.1).
         if rest and self.messages.open:
             for text in self.messages.receive(rest):
-                self._message(text)
-            self._follow()
+                self._handle_message(text)
+            self._update_state()
 
-    def _plain(self, status: int, text: str, headers: list[tuple[str, str]] | None = None) -> None:
-        """One last HTTP answer, then the end."""
+    def _send_last_answer(self, status: int, text: str, headers: list[tuple[str, str]] | None = None) -> None:
+        """Queues one HTTP answer, after which the connection ends."""
         body = orjson.dumps({"error": text})
         answer = h11.Response(
             status_code=status,
@@ -161,12 +166,13 @@
             ],
         )  # fmt: skip
         writer = h11.Connection(h11.SERVER)
-        self.raw += [writer.send(answer) or b"", writer.send(h11.Data(data=body)) or b""]
-        self.state, self.end = CLOSING, True
+        self.http_output += [writer.send(answer) or b"", writer.send(h11.Data(data=body)) or b""]
+        self.state = CLOSING
+        self.finished = True
         self.head = bytearray()
 
-    def _http(self, data: bytes) -> None:
-        """Plain HTTP/1.1 beside the main protocol: one answer for each request, in order (RFC 9112, 9.3.2)."""
+    def _receive_http(self, data: bytes) -> None:
+        """Answers plain HTTP/1.1 requests in order (RFC 9112, 9.3.2)."""
         http = self.http
         assert http is not None
         try:
@@ -178,21 +184,21 @@
                 if isinstance(event, h11.Request):
                     target, method = event.target.split(b"?", 1)[0].decode("latin-1"), event.method
                 if isinstance(event, h11.EndOfMessage):
-                    self.raw.append(self._page(http, method, target))
+                    self.http_output.append(self._http_answer(http, method, target))
                     if http.our_state is h11.MUST_CLOSE:
                         break
                     http.start_next_cycle()
             if http.our_state in (h11.MUST_CLOSE, h11.CLOSED):
-                self.end = True
+                self.finished = True
         except h11.RemoteProtocolError as problem:
-            self._plain(problem.error_status_hint or 400, str(problem)[:200])
+            self._send_last_answer(problem.error_status_hint or 400, str(problem)[:200])
 
-    def _page(self, http: h11.Connection, method: bytes, target: str) -> bytes:
+    def _http_answer(self, http: h11.Connection, method: bytes, target: str) -> bytes:
         headers: list[tuple[str, str]] = [("Content-Type", "application/json"), ("Cache-Control", "no-store")]
         if target == "/health" and method in (b"GET", b"HEAD"):
             status, page = self.health()
         elif target == self.settings.path:
-            # RFC 9110, 15.5.22: the answer names the protocol that is asked for.
+            # RFC 9110, 15.5.22: the answer names the required protocol.
             status, page = 426, {"error": "this path speaks WebSocket, subprotocol jsonrpc"}
             headers += [("Upgrade", "websocket"), ("Connection", "Upgrade")]
         elif target == "/health":
@@ -208,7 +214,7 @@
 
     # --- messages --------------------------------------------------------------------------------
 
-    def _message(self, text: bytes | str) -> None:
+    def _handle_message(self, text: bytes | str) -> None:
         try:
             message = rpc.read(text, self.settings.max_batch)
         except rpc.RpcError as problem:
@@ -216,52 +222,54 @@
                 assert self.messages is not None  # RFC 6455, 8.1: text that is not UTF-8 fails the connection
                 self.messages.fail(CloseCode.INVALID_DATA, "text is not UTF-8")
                 return
-            self._problem(problem, None)
+            self._send_error(problem, None)
             return
         if isinstance(message, rpc.Batch):
-            self._batch(message)
+            self._handle_batch(message)
         else:
-            self._one(message, None, None)
+            self._handle_call(message, None, None)
 
-    def _batch(self, batch: rpc.Batch) -> None:
-        """All of a batch is answered in one array, so all of it is wanted by the earliest of its times."""
-        slot = BatchSlot()
-        slot.left = 1  # held while the batch is read, so that early answers don't send it
-        times = [number(m.params.get("within_ms")) for m in batch.calls
+    def _handle_batch(self, batch: rpc.Batch) -> None:
+        """A batch is answered in one array, so the earliest time limit in it applies to all of its requests."""
+        batch_answers = BatchAnswers()
+        batch_answers.left = 1  # until the batch is read, so that early answers don't send the array
+        times = [finite_number(m.params.get("within_ms")) for m in batch.calls
                  if isinstance(m, rpc.Call) and isinstance(m.params, dict)]  # fmt: skip
         earliest = min((t for t in times if t is not None), default=None)
         for member in batch.calls:
             if isinstance(member, rpc.RpcError):
-                slot.left += 1
-                self._problem(member, slot)
+                batch_answers.left += 1
+                self._send_error(member, batch_answers)
             else:
-                self._one(member, slot, earliest)
-        self._fill(slot, None)
+                self._handle_call(member, batch_answers, earliest)
+        self._add_answer(batch_answers, None)
 
-    def _one(self, message: rpc.Call | rpc.Reply, slot: BatchSlot | None, within: float | None) -> None:
+    def _handle_call(
+        self, message: rpc.Call | rpc.Reply, batch_answers: BatchAnswers | None, within: float | None
+    ) -> None:
         if isinstance(message, rpc.Reply):
-            self.problems += 1  # nothing was asked of the client; an answer to an answer would never end
+            self.error_count += 1  # the client was sent no request, and answering an answer could loop
             return
         if message.id is None:
-            # 4.1: a notification gets no answer, so it can't be owed one, and is not taken.
-            self.notifications += 1
+            # JSON-RPC 2.0, 4.1: a notification gets no answer; it is counted and not processed.
+            self.notification_count += 1
             return
-        if slot is not None:
-            slot.left += 1
+        if batch_answers is not None:
+            batch_answers.left += 1
         try:
-            ask = self._ask(message)
+            ask = self._checked_request(message)
         except rpc.RpcError as problem:
-            self._problem(problem, slot)
+            self._send_error(problem, batch_answers)
             return
         if within is not None and (ask.within_ms is None or within < ask.within_ms):
             ask = Ask(ask.cls, ask.payload, within, ask.units)
         self.open_ids.add(message.id)
-        self.asked.append((Ref(message.id, slot), ask))
+        self.new_requests.append((RequestRef(message.id, batch_answers), ask))
 
-    def _ask(self, call: rpc.Call) -> Ask:
+    def _checked_request(self, call: rpc.Call) -> Ask:
         assert call.id is not None and self.partner is not None
         if call.id in self.open_ids:
-            # Named in the data, not as the id: an error under that id would pass for the first one's answer.
+            # The id is in the data only: an error with that id would look like the answer to the open request.
             raise rpc.RpcError(
                 rpc.INVALID_REQUEST, "id: a request with this id is open", None, {"id": call.id, "reason": "open_id"}
             )
@@ -272,29 +280,31 @@
         params = {} if call.params is None else call.params
         if type(params) is not dict:
             raise rpc.RpcError(rpc.INVALID_PARAMS, "params: an object", call.id)
-        if unknown := [name for name in params if name not in PARAMS]:
+        if unknown := [name for name in params if name not in KNOWN_PARAMS]:
             raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.{unknown[0][:60]}: not known", call.id)
         within, units, key = params.get("within_ms"), params.get("units", 1), params.get("key")
-        if within is not None and not (number(within) or 0) > 0:
+        if within is not None and not (finite_number(within) or 0) > 0:
             raise rpc.RpcError(rpc.INVALID_PARAMS, "params.within_ms: a number above 0", call.id)
-        most = self.settings.largest_units
-        if not 0 < (number(units) or 0) <= most:
-            raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.units: a number above 0, {most:g} at most", call.id)
-        if key is not None and not (type(key) is str and 0 < len(key) <= MOST_KEY):
-            raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.key: text of at most {MOST_KEY} characters", call.id)
+        largest = self.settings.largest_units
+        if not 0 < (finite_number(units) or 0) <= largest:
+            raise rpc.RpcError(rpc.INVALID_PARAMS, f"params.units: a number above 0, {largest:g} at most", call.id)
+        if key is not None and not (type(key) is str and 0 < len(key) <= MAX_KEY_LENGTH):
+            raise rpc.RpcError(
+                rpc.INVALID_PARAMS, f"params.key: text of at most {MAX_KEY_LENGTH} characters", call.id
+            )
         if self.settings.costs is not None:
-            # Priced by what was read, whatever the request claims: a claim would be the cheapest way round a quota.
+            # Priced by its content, not by the units that it claims, which would let clients evade the quota.
             units = amounts.units(self.settings.costs.rpc(call.method, params.get("data")).amount)
         payload = {"partner": self.partner.name, "data": params.get("data"), "units": units}
         if key is not None:
-            payload["key"] = f"{self.partner.name}/{key}"  # one partner's keys never meet another's
+            payload["key"] = f"{self.partner.name}/{key}"  # partners' keys don't collide
         return Ask(call.method, payload, within, float(units))
 
     # --- answers ---------------------------------------------------------------------------------
 
     def answer(self, answer: Answer) -> None:
-        """Word the one final answer of a request."""
-        ref: Ref = answer.ref
+        """Queues the final answer of a request."""
+        ref: RequestRef = answer.ref
         self.open_ids.discard(ref.id)
         if answer.kind == Kind.SERVED:
             body = answer.body
@@ -313,68 +323,72 @@
         else:
             text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.rid})
         if ref.batch is None:
-            self._send(text)
+            self._send_text(text)
         else:
-            self._fill(ref.batch, text)
+            self._add_answer(ref.batch, text)
 
-    def _problem(self, problem: rpc.RpcError, slot: BatchSlot | None) -> None:
-        self.problems += 1
-        if slot is None:
-            self._send(problem.answer())
+    def _send_error(self, problem: rpc.RpcError, batch_answers: BatchAnswers | None) -> None:
+        self.error_count += 1
+        if batch_answers is None:
+            self._send_text(problem.answer())
         else:
-            self._fill(slot, problem.answer())
+            self._add_answer(batch_answers, problem.answer())
 
-    def _fill(self, slot: BatchSlot, text: bytes | None) -> None:
+    def _add_answer(self, batch_answers: BatchAnswers, text: bytes | None) -> None:
         if text is not None:
-            slot.answers.append(text)
-        slot.left -= 1
-        if not slot.left and slot.answers:  # 6: no array at all where there were only notifications
-            self._send(rpc.array(slot.answers))
-
-    def _send(self, text: bytes) -> None:
+            batch_answers.answers.append(text)
+        batch_answers.left -= 1
+        if (
+            not batch_answers.left and batch_answers.answers
+        ):  # JSON-RPC 2.0, 6: no array for a batch of notifications only
+            self._send_text(rpc.array(batch_answers.answers))
+
+    def _send_text(self, text: bytes) -> None:
         if self.messages is not None:
             self.messages.send(text)
 
     def ping(self) -> None:
+        """Queues a WebSocket ping."""
         if self.messages is not None:
             self.messages.ping()
 
     def reject(self) -> None:
-        """Answer a connection that there is no room for, before it says anything."""
-        self._plain(503, "no room for more connections", [("Retry-After", "1")])
+        """Answers a new connection beyond the limit with 503, before anything of it is read."""
+        self._send_last_answer(503, "no room for more connections", [("Retry-After", "1")])
 
     def forbid(self) -> None:
-        """Answer a connection from a network that none is taken from."""
-        self._plain(403, "no connections are taken from this network")
+        """Answers a connection from a network that is not allowed with 403."""
+        self._send_last_answer(403, "no connections are taken from this network")
 
     def time_out(self) -> None:
-        """The request head did not come in time (RFC 9110, 15.5.9)."""
-        self._plain(408, "the request head took too long")
+        """Answers 408: the request head did not arrive in time (RFC 9110, 15.5.9)."""
+        self._send_last_answer(408, "the request head took too long")
 
     def refuse_new(self, why: str) -> None:
-        """From now on requests are refused, with this reason."""
+        """Refuses new requests from now on. The first reason given stays."""
         self.refusal_reason = self.refusal_reason or why
 
     def close(self, code: int, reason: str) -> None:
-        """Start the closing handshake; a connection that is no WebSocket yet just ends."""
+        """Starts the closing handshake; a connection that is not a WebSocket yet ends at once."""
         if self.messages is not None:
             self.messages.close(code, reason)
-            self._follow()
+            self._update_state()
         else:
-            self.end = True
+            self.finished = True
 
     def fail(self, code: int, reason: str) -> None:
+        """Fails the connection (RFC 6455, 7.1.7); one that is not an open WebSocket ends at once."""
         if self.messages is not None and self.messages.open:
             self.messages.fail(code, reason)
-            self._follow()
+            self._update_state()
         else:
-            self.end = True
+            self.finished = True
 
     def take(self) -> tuple[list[bytes], bool]:
-        """Bytes to write now, and whether the connection ends after them."""
-        raw, self.raw = self.raw, []
+        """Returns the bytes to write, and whether the connection ends after them."""
+        raw, self.http_output = self.http_output, []
         if self.messages is not None:
             writes, end = self.messages.take()
-            self.end |= end
+            self.finished |= end
             raw += writes
-        return raw, self.end
+        return raw, self.finished
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -1,4 +1,4 @@
-"""The WebSocket front, fed with bytes: what it takes, what it refuses, and that cuts of the bytes don't matter."""
+"""Tests of the WebSocket front, fed with bytes: accepted and refused input, however the bytes are split."""
 
 from __future__ import annotations
 
@@ -19,42 +19,44 @@
 from rushweir.link.websocket import Messages, client_protocol
 
 TOKEN = "a-credential"
-KNOWN = Credentials({digest(TOKEN): Partner("hotel", "wide")})
+CREDENTIALS = Credentials({digest(TOKEN): Partner("hotel", "wide")})
 SETTINGS = FrontSettings(path="/dispatch", max_message=10_000, max_batch=5, max_open=8, largest_units=4.0)
 
 
-def front(**changes) -> ClientConnection:
-    base = {f: getattr(SETTINGS, f) for f in FrontSettings.__slots__}
-    return ClientConnection(FrontSettings(**{**base, **changes}), lambda: KNOWN, lambda: (200, {"status": "ok"}))
+def make_connection(**changes) -> ClientConnection:
+    base = {field: getattr(SETTINGS, field) for field in FrontSettings.__slots__}
+    return ClientConnection(
+        FrontSettings(**{**base, **changes}), lambda: CREDENTIALS, lambda: (200, {"status": "ok"})
+    )
 
 
-def out(f: ClientConnection) -> bytes:
-    return b"".join(f.take()[0])
+def output(connection: ClientConnection) -> bytes:
+    return b"".join(connection.take()[0])
 
 
-class Peer:
-    """A front and its client, joined in memory."""
+class ConnectedFront:
+    """A front and a client, connected in memory."""
 
     def __init__(self, deflate: bool = False, **changes) -> None:
-        self.front = front(**changes)
+        self.front = make_connection(**changes)
         self.client = Messages(client_protocol("ws://x/dispatch", 1 << 20, deflate))
         self.client.connect({"Authorization": f"Bearer {TOKEN}"})
         self.front.receive(b"".join(self.client.take()[0]))
-        assert self.client.shake(out(self.front))
+        assert self.client.shake(output(self.front))
 
-    def say(self, *texts: bytes) -> list:
+    def send(self, *texts: bytes) -> list:
         for text in texts:
             self.client.send(text)
-        return self.raw(b"".join(self.client.take()[0]))
+        return self.send_bytes(b"".join(self.client.take()[0]))
 
-    def raw(self, data: bytes) -> list:
+    def send_bytes(self, data: bytes) -> list:
         return self.front.receive(data)
 
-    def heard(self) -> list:
-        return [orjson.loads(t) for t in self.client.receive(out(self.front))]
+    def received_messages(self) -> list:
+        return [orjson.loads(t) for t in self.client.receive(output(self.front))]
 
-    def closed_with(self) -> int | None:
-        self.heard()
+    def close_code(self) -> int | None:
+        self.received_messages()
         received = self.client.proto.close_rcvd
         return int(received.code) if received is not None else None
 
@@ -63,17 +65,17 @@
     return rpc.call(method, params, id)
 
 
-def mask(opcode: int, payload: bytes, fin: bool = True, rsv: int = 0, masked: bool = True) -> bytes:
+def frame(opcode: int, payload: bytes, fin: bool = True, rsv: int = 0, masked: bool = True) -> bytes:
     head = bytes([(0x80 if fin else 0) | rsv | opcode])
     n = len(payload)
     size = bytes([n]) if n < 126 else b"\x7e" + struct.pack("!H", n) if n < 65536 else b"\x7f" + struct.pack("!Q", n)
     if not masked:
         return head + size + payload
-    key = b"\x37\xfa\x21\x3d"  # not drawn: names of tests are made of frames, and are the same in each worker
+    key = b"\x37\xfa\x21\x3d"  # fixed, since test ids contain frames and must be equal in all workers
     return head + bytes([size[0] | 0x80]) + size[1:] + key + bytes(b ^ key[k % 4] for k, b in enumerate(payload))
 
 
-# --- who may come in -------------------------------------------------------------------------------
+# --- authentication and plain HTTP ----------------------------------------------------------------
 
 
 def upgrade(*lines: str, path: str = "/dispatch") -> bytes:
@@ -82,23 +84,27 @@
     return "\r\n".join([f"GET {path} HTTP/1.1", *base, *lines, "", ""]).encode()
 
 
-STRANGE = ("X: y", "Bearer wrong", "Basic eDp5", f"Bearer {TOKEN} x", "Bearer", "\xff")
+INVALID_CREDENTIALS = ("X: y", "Bearer wrong", "Basic eDp5", f"Bearer {TOKEN} x", "Bearer", "\xff")
 
 
-@pytest.mark.parametrize("line", [s if ":" in s else f"Authorization: {s}" for s in STRANGE])
-def test_strangers_get_401_before_the_upgrade(line):
-    f = front()
-    f.receive(upgrade(line))
-    writes, end = f.take()
+@pytest.mark.parametrize("line", [s if ":" in s else f"Authorization: {s}" for s in INVALID_CREDENTIALS])
+def test_invalid_credential_gets_401_before_the_upgrade(line):
+    connection = make_connection()
+    connection.receive(upgrade(line))
+    writes, end = connection.take()
     answer = b"".join(writes)
     assert answer.startswith(b"HTTP/1.1 401 ") and b"Bearer" in answer and b"101" not in answer and end
 
 
-def test_a_partner_comes_in_with_the_subprotocol():
-    f = front()
-    f.receive(upgrade(f"Authorization: bearer {TOKEN}", "Sec-WebSocket-Protocol: jsonrpc"))
-    answer = out(f)
-    assert answer.startswith(b"HTTP/1.1 101 ") and b"jsonrpc" in answer and f.partner == Partner("hotel", "wide")
+def test_partner_is_upgraded_with_the_subprotocol():
+    connection = make_connection()
+    connection.receive(upgrade(f"Authorization: bearer {TOKEN}", "Sec-WebSocket-Protocol: jsonrpc"))
+    answer = output(connection)
+    assert (
+        answer.startswith(b"HTTP/1.1 101 ")
+        and b"jsonrpc" in answer
+        and connection.partner == Partner("hotel", "wide")
+    )
 
 
 @pytest.mark.parametrize(
@@ -117,39 +123,41 @@
         (b"GET /" + b"x" * 20_000, 431),
     ],
 )
-def test_plain_http(request_, status):
-    f = front()
-    f.receive(request_)
-    assert out(f).startswith(f"HTTP/1.1 {status} ".encode())
-
-
-def test_http_requests_on_one_connection_in_order():
-    f = front()
-    f.receive(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\nGET /nix HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-    writes, end = f.take()
+def test_plain_http_request_gets_the_expected_status(request_, status):
+    connection = make_connection()
+    connection.receive(request_)
+    assert output(connection).startswith(f"HTTP/1.1 {status} ".encode())
+
+
+def test_http_requests_on_one_connection_are_answered_in_order():
+    connection = make_connection()
+    connection.receive(
+        b"GET /health HTTP/1.1\r\nHost: x\r\n\r\nGET /nix HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+    )
+    writes, end = connection.take()
     answer = b"".join(writes)
     assert answer.index(b" 200 ") < answer.index(b" 404 ") and end
 
 
-# --- what it takes ---------------------------------------------------------------------------------
+# --- requests --------------------------------------------------------------------------------------
 
 
-def test_a_request_and_its_answers():
-    p = Peer()
-    (got,) = p.say(call("x", key="k", units=2, within_ms=500, data={"to": "Keleti"}))
+def test_request_is_parsed_and_each_kind_of_answer_is_formatted():
+    connected = ConnectedFront()
+    (got,) = connected.send(call("x", key="k", units=2, within_ms=500, data={"to": "Keleti"}))
     ref, ask = got
     assert (ask.cls, ask.within_ms, ask.units) == ("booking", 500, 2.0)
     assert ask.payload == {"partner": "hotel", "data": {"to": "Keleti"}, "units": 2, "key": "hotel/k"}
-    p.front.answer(Answer(1, ref, Kind.SERVED, ("result", {"ok": 1})))
-    assert p.heard() == [{"jsonrpc": "2.0", "id": "x", "result": {"ok": 1}}]
+    connected.front.answer(Answer(1, ref, Kind.SERVED, ("result", {"ok": 1})))
+    assert connected.received_messages() == [{"jsonrpc": "2.0", "id": "x", "result": {"ok": 1}}]
     for kind, code, data in (
         (Kind.REFUSED, rpc.REFUSED, {"reason": "quota", "repeat": "harmless", "retry_after_ms": 41, "request": "r"}),
         (Kind.FAILED, rpc.FAILED, {"reason": "quota", "request": "r"}),
     ):
-        ((ref, _),) = p.say(call("y"))
-        p.front.answer(Answer(1, ref, kind, None, "quota", 40.2, "r"))
-        (said,) = p.heard()
-        assert (said["error"]["code"], said["error"]["data"]) == (code, data)
+        ((ref, _),) = connected.send(call("y"))
+        connected.front.answer(Answer(1, ref, kind, None, "quota", 40.2, "r"))
+        (message,) = connected.received_messages()
+        assert (message["error"]["code"], message["error"]["data"]) == (code, data)
 
 
 @pytest.mark.parametrize(
@@ -182,40 +190,43 @@
         (call(price=3), -32602, "params.price"),
     ],
 )
-def test_bad_messages_are_answered_and_harm_nobody(text, code, names):
-    p = Peer()
-    assert p.say(text) == []
-    (said,) = p.heard()
+def test_malformed_message_gets_an_error_and_the_connection_stays_open(text, code, names):
+    connected = ConnectedFront()
+    assert connected.send(text) == []
+    (message,) = connected.received_messages()
     if code is not None:
-        assert said["error"]["code"] == code
-    assert said["error"]["code"] < 0 and names.split(".")[-1] in said["error"]["message"] or code is None
-    assert len(p.say(call("next"))) == 1  # the connection goes on
+        assert message["error"]["code"] == code
+    assert message["error"]["code"] < 0 and names.split(".")[-1] in message["error"]["message"] or code is None
+    assert len(connected.send(call("next"))) == 1  # the connection stays open
 
 
-def test_notifications_are_not_taken_and_not_answered():
-    p = Peer()
-    assert p.say(b'{"jsonrpc":"2.0","method":"booking","params":{}}') == [] and p.heard() == []
-    assert p.front.notifications == 1
+def test_notification_is_neither_processed_nor_answered():
+    connected = ConnectedFront()
+    assert (
+        connected.send(b'{"jsonrpc":"2.0","method":"booking","params":{}}') == []
+        and connected.received_messages() == []
+    )
+    assert connected.front.notification_count == 1
 
 
-def test_open_requests_of_a_connection_are_bounded():
-    p = Peer()
-    assert len(p.say(*(call(k) for k in range(12)))) == 8
-    refused = p.heard()
+def test_requests_beyond_the_open_limit_are_refused():
+    connected = ConnectedFront()
+    assert len(connected.send(*(call(k) for k in range(12)))) == 8
+    refused = connected.received_messages()
     assert [r["error"]["data"]["reason"] for r in refused] == ["connection_full"] * 4
 
 
-def test_batches_wait_for_their_last_answer():
-    p = Peer()
+def test_batch_is_answered_when_its_last_answer_is_there():
+    connected = ConnectedFront()
     text = b"[" + b",".join([call(1, within_ms=900), call(2, within_ms=400), b"7", call(3)]) + b"]"
-    asked = p.say(text)
+    asked = connected.send(text)
     assert [a.within_ms for _, a in asked] == [400, 400, 400]
     for ref, _ in asked[:2]:
-        p.front.answer(Answer(1, ref, Kind.SERVED, ("result", ref.id)))
-    assert p.heard() == []
-    p.front.answer(Answer(1, asked[2][0], Kind.FAILED, None, "attempts"))
-    (said,) = p.heard()
-    assert sorted(str(m["id"]) for m in said) == ["1", "2", "3", "None"]
+        connected.front.answer(Answer(1, ref, Kind.SERVED, ("result", ref.id)))
+    assert connected.received_messages() == []
+    connected.front.answer(Answer(1, asked[2][0], Kind.FAILED, None, "attempts"))
+    (message,) = connected.received_messages()
+    assert sorted(str(m["id"]) for m in message) == ["1", "2", "3", "None"]
 
 
 # --- frames ----------------------------------------------------------------------------------------
@@ -224,82 +235,82 @@
 @pytest.mark.parametrize(
     ("frames", "code"),
     [
-        (mask(1, b"{}", masked=False), 1002),  # RFC 6455, 5.1: a client masks
-        (mask(2, b"{}"), 1003),
-        (mask(1, b"\xff\xfe"), 1007),
-        (mask(1, b"\xc3", fin=False) + mask(0, b"\x28"), 1007),
-        (mask(0, b"x"), 1002),  # nothing to continue
-        (mask(1, b"a", fin=False) + mask(1, b"b"), 1002),
-        (mask(9, b"x", fin=False), 1002),  # control frames are not cut (5.5)
-        (mask(9, b"x" * 126), 1002),
-        (mask(3, b""), 1002),
-        (mask(1, b"{}", rsv=0x40), 1002),  # no extension was agreed
-        (mask(1, b"x" * 10_001), 1009),
-        (mask(1, b"x" * 6000, fin=False) + mask(0, b"x" * 6000), 1009),
-        (mask(8, b"\x03"), 1002),
-        (mask(8, struct.pack("!H", 1005)), 1002),  # 7.4.1: never on the wire
-        (mask(8, struct.pack("!H", 1000) + b"\xff"), 1007),
+        (frame(1, b"{}", masked=False), 1002),  # RFC 6455, 5.1: a client masks
+        (frame(2, b"{}"), 1003),
+        (frame(1, b"\xff\xfe"), 1007),
+        (frame(1, b"\xc3", fin=False) + frame(0, b"\x28"), 1007),
+        (frame(0, b"x"), 1002),  # nothing to continue
+        (frame(1, b"a", fin=False) + frame(1, b"b"), 1002),
+        (frame(9, b"x", fin=False), 1002),  # control frames are not fragmented (5.5)
+        (frame(9, b"x" * 126), 1002),
+        (frame(3, b""), 1002),
+        (frame(1, b"{}", rsv=0x40), 1002),  # no extension was negotiated
+        (frame(1, b"x" * 10_001), 1009),
+        (frame(1, b"x" * 6000, fin=False) + frame(0, b"x" * 6000), 1009),
+        (frame(8, b"\x03"), 1002),
+        (frame(8, struct.pack("!H", 1005)), 1002),  # 7.4.1: never on the wire
+        (frame(8, struct.pack("!H", 1000) + b"\xff"), 1007),
         (b"\x81\xff" + struct.pack("!Q", 1 << 62), 1009),
-        (mask(1, b"", fin=False) + mask(0, b"", fin=False) * 5000, 1009),
+        (frame(1, b"", fin=False) + frame(0, b"", fin=False) * 5000, 1009),
     ],
     ids=lambda value: value[:16].hex() if isinstance(value, bytes) else None,
 )
-def test_broken_frames_end_the_connection_with_a_code(frames, code):
-    p = Peer()
-    assert p.raw(frames) == []
-    assert p.closed_with() == code and p.front.take()[1]
-    assert p.raw(mask(1, call())) == []  # 7.1.7: nothing more is read
+def test_invalid_frame_closes_the_connection_with_its_code(frames, code):
+    connected = ConnectedFront()
+    assert connected.send_bytes(frames) == []
+    assert connected.close_code() == code and connected.front.take()[1]
+    assert connected.send_bytes(frame(1, call())) == []  # RFC 6455, 7.1.7: nothing more is read
 
 
-def test_a_bomb_is_not_inflated():
-    p = Peer(deflate=True)
+def test_compressed_message_beyond_the_size_limit_is_not_inflated():
+    connected = ConnectedFront(deflate=True)
     packer = zlib.compressobj(9, zlib.DEFLATED, -15)
     bomb = (packer.compress(b" " * 50_000_000) + packer.flush(zlib.Z_SYNC_FLUSH))[:-4]
     assert len(bomb) < 60_000
-    assert p.raw(mask(1, bomb, rsv=0x40)) == [] and p.closed_with() == 1009
+    assert connected.send_bytes(frame(1, bomb, rsv=0x40)) == [] and connected.close_code() == 1009
 
 
-def test_deflated_messages_come_through():
-    p = Peer(deflate=True)
-    assert p.client.proto.extensions, "agreed on"
-    ((_, ask),) = p.say(call(data="x" * 5000))
+def test_compressed_message_is_read():
+    connected = ConnectedFront(deflate=True)
+    assert connected.client.proto.extensions, "no extension was negotiated"
+    ((_, ask),) = connected.send(call(data="x" * 5000))
     assert ask.payload["data"] == "x" * 5000
 
 
-def test_control_frames_between_fragments():
-    p = Peer()
+def test_ping_between_fragments_is_answered():
+    connected = ConnectedFront()
     text = call(7)
-    asked = p.raw(mask(1, text[:9], fin=False) + mask(9, b"there?") + mask(0, text[9:]))
+    asked = connected.send_bytes(frame(1, text[:9], fin=False) + frame(9, b"there?") + frame(0, text[9:]))
     assert [r.id for r, _ in asked] == [7]
-    raw = out(p.front)
-    assert Frame(Opcode.PONG, b"there?").serialize(mask=False) in raw
+    written = output(connected.front)
+    assert Frame(Opcode.PONG, b"there?").serialize(mask=False) in written
 
 
-def test_close_is_echoed_and_ends():
-    p = Peer()
-    p.raw(mask(8, struct.pack("!H", 1000) + b"bye"))
-    writes, end = p.front.take()
+def test_close_frame_is_echoed_and_ends_the_connection():
+    connected = ConnectedFront()
+    connected.send_bytes(frame(8, struct.pack("!H", 1000) + b"bye"))
+    writes, end = connected.front.take()
     assert b"".join(writes) == b"\x88\x05" + struct.pack("!H", 1000) + b"bye" and end
 
 
-STREAM = [call(k, data="é" * k) for k in range(6)]
+STREAMED_CALLS = [call(k, data="é" * k) for k in range(6)]
 
 
 @settings(max_examples=60, deadline=None)
 @given(cuts=st.lists(st.integers(0, 2000), max_size=40), pieces=st.lists(st.integers(1, 40), max_size=12))
-def test_where_the_bytes_are_cut_changes_nothing(cuts, pieces):
-    """Chunks of the stream, and fragments of messages, at any place: the same requests come out."""
-    p = Peer()
+def test_requests_are_the_same_however_the_bytes_are_split(cuts, pieces):
+    """The stream is split into chunks, and messages into fragments, at random places."""
+    connected = ConnectedFront()
     stream = b""
-    for k, text in enumerate(STREAM):
+    for k, text in enumerate(STREAMED_CALLS):
         if k < len(pieces) and pieces[k] < len(text):
             at = pieces[k]
-            stream += mask(1, text[:at], fin=False) + mask(9, b"p") + mask(0, text[at:])
+            stream += frame(1, text[:at], fin=False) + frame(9, b"p") + frame(0, text[at:])
         else:
-            stream += mask(1, text)
+            stream += frame(1, text)
     asked, last = [], 0
     for at in sorted({c for c in cuts if c < len(stream)}) + [len(stream)]:
-        asked += p.raw(stream[last:at])
+        asked += connected.send_bytes(stream[last:at])
         last = at
     assert [(r.id, a.payload["data"]) for r, a in asked] == [(k, "é" * k) for k in range(6)]
 
@@ -308,17 +319,17 @@
 @given(data=st.binary(max_size=600), after_upgrade=st.booleans())
 def test_random_bytes_never_raise(data, after_upgrade):
     if after_upgrade:
-        p = Peer()
-        p.raw(data)
-        p.raw(data)
-        p.front.take()
-        p.front.receive_eof()
+        connected = ConnectedFront()
+        connected.send_bytes(data)
+        connected.send_bytes(data)
+        connected.front.take()
+        connected.front.receive_eof()
     else:
-        f = front()
-        f.receive(data)
-        f.receive(b"\r\n\r\n")
-        f.take()
-        f.receive_eof()
+        connection = make_connection()
+        connection.receive(data)
+        connection.receive(b"\r\n\r\n")
+        connection.take()
+        connection.receive_eof()
 
 
 json_values = st.recursive(
@@ -330,13 +341,13 @@
 
 @settings(max_examples=150, deadline=None)
 @given(method=json_values, id=json_values, params=json_values)
-def test_any_json_is_answered_or_taken_once(method, id, params):
-    p = Peer()
-    asked = p.say(orjson.dumps({"jsonrpc": "2.0", "method": method, "id": id, "params": params}))
-    assert len(asked) + len(p.heard()) == 1
+def test_any_json_request_is_either_accepted_or_answered_once(method, id, params):
+    connected = ConnectedFront()
+    asked = connected.send(orjson.dumps({"jsonrpc": "2.0", "method": method, "id": id, "params": params}))
+    assert len(asked) + len(connected.received_messages()) == 1
 
 
-def test_credentials():
+def test_only_the_exact_bearer_credential_authenticates():
     token = new_credential()
     known = Credentials({digest(token): Partner("a", "p")})
     assert known.authenticate(f"Bearer {token}") == Partner("a", "p")
