--- a/rushweir/edge/__main__.py
+++ b/rushweir/edge/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m rushweir.edge``: one ingress of the platform, in the foreground, until SIGTERM."""
+"""``python -m rushweir.edge``: runs one ingress of the platform in the foreground until SIGTERM."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def main() -> int:
+    """Runs the ingress and returns the exit status of the process."""
     signals = Signals()
     signals.install()
-    # Only now the rest, which takes a while to load: a SIGHUP meanwhile would end the process.
+    # Imported after the handlers are installed: loading takes a while, and a SIGHUP would end the process meanwhile.
     from rushweir.edge.service import run
 
     return run(signals)
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -180,14 +180,14 @@
             answer = link.reader.receive(data)
         except Malformed as problem:
             self.counts["spoilt_answers"] += 1
-            self.counts[f"spoilt: {problem.why[:40]}"] += 1
+            self.counts[f"spoilt: {problem.reason[:40]}"] += 1
             self._finish(link, i.Result.RESET)
             self._cut(link)
             return
         if answer is None:
             return
-        last = not answer.keep or link.reader.stray or link.unsent
-        self.counts["strays"] += link.reader.stray
+        last = not answer.keep or link.reader.unmatched or link.unsent
+        self.counts["strays"] += link.reader.unmatched
         self._finish(link, _result(answer), answer)
         if last:
             self._cut(link)
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -16,7 +16,7 @@
 from urllib.parse import parse_qsl
 
 from rushweir import interface as i
-from rushweir.edge.http import MOST_QUEUED, TOO_MANY, Malformed, Message, RequestReader
+from rushweir.edge.http import MAX_QUEUED_REQUESTS, TOO_MANY_QUEUED, Malformed, Message, RequestReader
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.commands import Answer, Kind
@@ -101,7 +101,7 @@
     @property
     def partial_message(self) -> int:
         """The number of the message that has begun and is not whole; 0: none."""
-        return self.reader.begun if self.reader.message is not None and not self.end else 0
+        return self.reader.begun_count if self.reader.message is not None and not self.end else 0
 
     @property
     def is_busy(self) -> bool:
@@ -119,10 +119,10 @@
             try:
                 whole = self.reader.feed(data)
             except Malformed as fault:
-                whole, self.fault = self.reader.done, fault
+                whole, self.fault = self.reader.complete, fault
             self.queue += [(message, self.shared.now()) for message in whole]
-            if len(self.queue) > MOST_QUEUED:
-                self.fault = Malformed(400, TOO_MANY)
+            if len(self.queue) > MAX_QUEUED_REQUESTS:
+                self.fault = Malformed(400, TOO_MANY_QUEUED)
         while self.current is None and self.queue and not self.end:
             message, came = self.queue.pop(0)
             self.state, self.keep = HTTP, message.keep
@@ -140,7 +140,7 @@
                 return [(self.current, ask)]
         if self.current is None and self.fault is not None and not self.end:
             self.keep = False
-            self._write(self.fault.status, self.fault.why.encode())
+            self._write(self.fault.status, self.fault.reason.encode())
         return []
 
     def receive_eof(self) -> None:
--- a/rushweir/edge/http.py
+++ b/rushweir/edge/http.py
@@ -1,35 +1,35 @@
-"""HTTP/1.1 messages (RFC 9112) out of bytes, for both ends. No I/O.
+"""Parses HTTP/1.1 messages (RFC 9112) for both client and backend connections. No I/O.
 
-llhttp, by httptools, parses; it refuses what RFC 9112 calls an attack or leaves open: obs-fold (5.2), a length beside
-a transfer coding (6.1), lengths that repeat, are negative or no number (6.3), bare line ends. What is added here are
-bounds, and that a message counts only when it is whole. docs/edge.md has the parsers weighed against each other.
+The parser is llhttp, through httptools. It refuses what RFC 9112 describes as an attack or leaves open: obs-fold
+(5.2), a length beside a transfer coding (6.1), repeated, negative or non-numeric lengths (6.3), bare line ends. This
+module adds size limits and passes on complete messages only. docs/edge.md compares the parsers.
 """
 
 from __future__ import annotations
 
 import httptools
 
-MOST_HEAD = 16_384  # bytes of a head; some proxies add long cookies, nobody needs more
-MOST_HEADERS = 100
-MOST_BODY = 65_536
-MOST_PIECES = 8192  # of a body: chunks of a few bytes each cost many times their size
-# Of what is neither head nor body: sizes of so many chunks, trailers, and the one read that may count here in whole.
-MOST_FRAMING = 8 * MOST_PIECES + 65_536
-MOST_QUEUED = 64  # whole requests that wait for the answer of the one before them
-TOO_MANY = "too many requests ahead of their answers"
+MAX_HEAD_BYTES = 16_384  # some proxies add long cookies, nothing needs more
+MAX_HEADER_FIELDS = 100
+MAX_BODY_BYTES = 65_536
+MAX_BODY_PIECES = 8192  # chunks of a few bytes each cost many times their size in memory
+# Bytes that are neither head nor body: the sizes of that many chunks, trailers, and one read that counts in full.
+MAX_FRAMING_BYTES = 8 * MAX_BODY_PIECES + 65_536
+MAX_QUEUED_REQUESTS = 64  # complete requests that wait for the answer to the one before them
+TOO_MANY_QUEUED = "too many requests ahead of their answers"
 
 
 class Malformed(Exception):
-    """What came can't be read as HTTP, or passes a bound; ``status`` is the answer for a client."""
+    """Input that is not valid HTTP or exceeds a limit; ``status`` is the answer for a client."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status, self.reason = status, reason
 
 
 class Message:
-    """One whole message. Names of headers are in lower case; of a repeated header the last value is kept, and its
-    name stands in ``repeated``."""
+    """One message. Header names are in lower case; of a repeated header the last value is stored and its name is in
+    ``repeated``."""
 
     __slots__ = ("body", "headers", "keep", "method", "repeated", "status", "target")
 
@@ -40,147 +40,153 @@
 
 
 class _Reader:
-    """What requests and answers have in common: the parser's callbacks, and the bounds."""
+    """The parser callbacks and size limits that requests and answers share."""
 
-    def __init__(self, parser: type, most_body: int) -> None:
-        self.parser, self.most_body = parser(self), most_body
-        self.done: list[Message] = []
-        self.message: Message | None = None  # the one under way
-        self.in_head, self.size, self.begun = False, 0, 0
-        self.rest = 0  # bytes that came since the head, of the body and of its framing
-        self.parts: list[bytes] = []
-        self.refused: Malformed | None = None
+    def __init__(self, parser: type, max_body: int) -> None:
+        self.parser, self.max_body = parser(self), max_body
+        self.complete: list[Message] = []  # not yet returned by ``feed``
+        self.message: Message | None = None  # the incomplete one
+        self.in_head, self.size, self.begun_count = False, 0, 0  # ``size``: bytes of the head, then of the body
+        self.bytes_after_head = 0  # of the body and its framing
+        self.body_pieces: list[bytes] = []
+        self.error: Malformed | None = None
 
     def on_message_begin(self) -> None:
-        self.message, self.in_head, self.parts = Message(), True, []
-        self.begun += 1
-        self.size = self.rest = 0
+        self.message, self.in_head, self.body_pieces = Message(), True, []
+        self.begun_count += 1
+        self.size = self.bytes_after_head = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # The parser leaves the white space after a value, which is none of it (RFC 9110, 5.5).
+        # The parser leaves trailing white space, which is not part of the value (RFC 9110, 5.5).
         headers, name, value = self.message.headers, name.lower(), value.strip(b" \t")
         if name in headers:
             self.message.repeated.add(name)
         headers[name] = value
-        if len(headers) > MOST_HEADERS:
-            self._refuse(431, "too many header fields")
+        if len(headers) > MAX_HEADER_FIELDS:
+            self._fail(431, "too many header fields")
 
     def on_body(self, data: bytes) -> None:
-        self.parts.append(data)
+        self.body_pieces.append(data)
         self.size += len(data)
-        if self.size > self.most_body:
-            self._refuse(413, "body too large")
+        if self.size > self.max_body:
+            self._fail(413, "body too large")
 
-    def _length(self) -> None:
-        """Refuse a body by its announced length, before any of it is read."""
+    def _check_length(self) -> None:
+        """Refuses a body by its announced length, before any of it is read."""
         length = self.message.headers.get(b"content-length")
-        if length is not None and int(length) > self.most_body:
-            self._refuse(413, "body too large")
+        if length is not None and int(length) > self.max_body:
+            self._fail(413, "body too large")
         self.in_head, self.size = False, 0
 
     def on_message_complete(self) -> None:
-        m, self.message = self.message, None
-        m.body = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
-        m.keep = self.parser.should_keep_alive()
-        self.parts = []
-        self.done.append(m)
+        message, self.message = self.message, None
+        message.body = self.body_pieces[0] if len(self.body_pieces) == 1 else b"".join(self.body_pieces)
+        message.keep = self.parser.should_keep_alive()
+        self.body_pieces = []
+        self.complete.append(message)
 
-    def _refuse(self, status: int, why: str) -> None:
-        self.refused = Malformed(status, why)
-        raise self.refused  # the parser stops here, and reports an error of its own
+    def _fail(self, status: int, reason: str) -> None:
+        self.error = Malformed(status, reason)
+        raise self.error  # the parser stops here and raises an error of its own
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take in bytes; returns the messages that are whole by now. Raises Malformed; ``done`` then still holds the
-        messages that were whole before the fault."""
+        """Parses bytes and returns the messages completed by them.
+
+        Raises Malformed; ``complete`` then still holds the messages completed before the fault."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.done.pop()  # what follows such a head would be of another protocol
+            self.complete.pop()  # what follows such a head belongs to another protocol
             raise Malformed(400, "no other protocol is spoken here") from None
         except httptools.HttpParserError as problem:
-            raise self.refused or Malformed(400, str(problem)[:100]) from None
+            raise self.error or Malformed(400, str(problem)[:100]) from None
         if self.message is not None:
             if self.in_head:
                 self.size += len(data)
-                if self.size > MOST_HEAD:
+                if self.size > MAX_HEAD_BYTES:
                     raise Malformed(431, "head too long")
-            elif len(self.parts) > MOST_PIECES:
+            elif len(self.body_pieces) > MAX_BODY_PIECES:
                 raise Malformed(413, "body in too many pieces")
             else:
-                self.rest += len(data)
-                if self.rest > self.size + MOST_FRAMING:
+                self.bytes_after_head += len(data)
+                if self.bytes_after_head > self.size + MAX_FRAMING_BYTES:
                     raise Malformed(431, "trailers or sizes of chunks too long")
-        done, self.done = self.done, []
-        return done
+        complete, self.complete = self.complete, []
+        return complete
 
 
 class RequestReader(_Reader):
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        super().__init__(httptools.HttpRequestParser, most_body)
+    """Reads a client's requests."""
+
+    def __init__(self, max_body: int = MAX_BODY_BYTES) -> None:
+        super().__init__(httptools.HttpRequestParser, max_body)
 
     def on_url(self, url: bytes) -> None:
         self.message.target += url
-        if len(self.message.target) > MOST_HEAD:
-            self._refuse(414, "target too long")
+        if len(self.message.target) > MAX_HEAD_BYTES:
+            self._fail(414, "target too long")
 
     def on_headers_complete(self) -> None:
-        m = self.message
-        m.method = self.parser.get_method()
-        self._length()
-        if b"host" in m.repeated:
-            self._refuse(400, "more than one Host")  # RFC 9112, 3.2
+        message = self.message
+        message.method = self.parser.get_method()
+        self._check_length()
+        if b"host" in message.repeated:
+            self._fail(400, "more than one Host")  # RFC 9112, 3.2
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
-        if len(self.done) > MOST_QUEUED:
-            self._refuse(400, TOO_MANY)
+        if len(self.complete) > MAX_QUEUED_REQUESTS:
+            self._fail(400, TOO_MANY_QUEUED)
 
 
 class AnswerReader(_Reader):
-    """Answers on one connection, one at a time: ``expect`` says that one is owed. ``stray`` is set when more came
-    than that: the answer is good, the connection of no further use."""
+    """Reads the answers on one connection, one at a time: ``expect`` announces the next one.
+
+    ``unmatched`` is set when more arrived than was expected: the answer is valid, but the connection can't be
+    reused."""
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
-        super().__init__(httptools.HttpResponseParser, most_body)
-        self.owed = self.stray = False
-        self.heads = 0
+    def __init__(self, max_body: int = MAX_BODY_BYTES) -> None:
+        super().__init__(httptools.HttpResponseParser, max_body)
+        self.expecting = self.unmatched = False
+        self.interim_count = 0
 
     def expect(self) -> None:
-        self.owed, self.heads = True, 0
+        """Expects the answer to a request that is about to be written."""
+        self.expecting, self.interim_count = True, 0
 
     def on_message_begin(self) -> None:
-        if not self.owed:
-            self.stray = True
+        if not self.expecting:
+            self.unmatched = True
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        m = self.message
-        m.status = self.parser.get_status_code()
-        if 100 <= m.status < 200:
-            # RFC 9110, 15.2: any number of them may come ahead; here not endlessly many.
-            self.heads += 1
-            if self.heads > 32 or m.status == 101:
-                self._refuse(502, "endless or unasked interim answers")
-        elif b"content-length" not in m.headers and b"transfer-encoding" not in m.headers:
-            # Its end would be the connection's (RFC 9112, 6.3), which a break can't be told from.
-            if m.status not in (204, 304):
-                self._refuse(502, "an answer without a length")
-        self._length()
+        message = self.message
+        message.status = self.parser.get_status_code()
+        if 100 <= message.status < 200:
+            # RFC 9110, 15.2 allows any number of interim answers; here their number is limited.
+            self.interim_count += 1
+            if self.interim_count > 32 or message.status == 101:
+                self._fail(502, "endless or unasked interim answers")
+        elif b"content-length" not in message.headers and b"transfer-encoding" not in message.headers:
+            # It would end with the connection (RFC 9112, 6.3), which looks the same as a broken connection.
+            if message.status not in (204, 304):
+                self._fail(502, "an answer without a length")
+        self._check_length()
 
     def on_message_complete(self) -> None:
-        if not self.owed or 100 <= self.message.status < 200:
+        if not self.expecting or 100 <= self.message.status < 200:
             self.message = None
         else:
-            self.owed = False
+            self.expecting = False
             super().on_message_complete()
 
     def receive(self, data: bytes) -> Message | None:
-        """The answer, when it is whole. Raises Malformed where it can't become one."""
+        """Returns the answer once it is complete. Raises Malformed if the bytes can't become one."""
         try:
-            done = self.feed(data)
+            complete = self.feed(data)
         except Malformed:
-            done, self.done = self.done, []
-            if not done:
+            complete, self.complete = self.complete, []
+            if not complete:
                 raise
-            self.stray = True
-        return done[0] if done else None
+            self.unmatched = True
+        return complete[0] if complete else None
--- a/rushweir/edge/members.py
+++ b/rushweir/edge/members.py
@@ -132,7 +132,7 @@
             self._lost("unreadable")
             return
         self.pause, self.prompt = PAUSE_MS[0], False
-        if answer.keep and not self.reader.stray:
+        if answer.keep and not self.reader.unmatched:
             self._ask()
         else:
             # Nothing was missed, so the next call waits: a discovery that closes each time was asked without end.
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -1,4 +1,4 @@
-"""One ingress of the platform as a process: its configuration, its signals, its end."""
+"""Runs one ingress of the platform as a process: its configuration, its signals and its shutdown."""
 
 from __future__ import annotations
 
@@ -21,23 +21,25 @@
 from rushweir.logs.decisions import Limiter
 from rushweir.policy import Policy
 
-LINES_PER_S, LINES_AT_ONCE = 2.0, 20  # of each cause
-LAST_S = 0.7  # after SIGTERM clients may still come for so long
-# The platform kills no sooner than the longest deadline, or this where it is longer, after that; what came late must
-# be answered by then, and a little before.
-KILL_MS, BEFORE_MS = 3_000.0, 100.0
+LOG_LINES_PER_S, LOG_BURST_LINES = 2.0, 20  # limits for each cause
+ACCEPTING_S = 0.7  # how long after SIGTERM new clients are still accepted
+# After that the platform kills the process no sooner than the longest deadline or, if that is longer, this time. Late
+# requests must be answered by then, with a margin.
+PLATFORM_KILL_MS, ANSWER_MARGIN_MS = 3_000.0, 100.0
 
 
 class Log:
-    """One JSON object a line on standard error, limited by cause."""
+    """Writes log events as JSON lines to standard error, with a rate limit for each cause."""
 
     def __init__(self, clock: Clock) -> None:
-        self.clock, self.limiter = clock, Limiter(LINES_PER_S, LINES_AT_ONCE)
+        self.clock = clock
+        self.limiter = Limiter(LOG_LINES_PER_S, LOG_BURST_LINES)
 
     def remark(self, remark: c.Remark) -> None:
+        """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
-        may, left_out = self.limiter.may(now, remark.cause)
-        if may:
+        allowed, left_out = self.limiter.may(now, remark.cause)
+        if allowed:
             line = {"at": round(now), "level": remark.level, "cause": remark.cause, **remark.fields}
             if left_out:
                 line["left_out"] = left_out
@@ -46,10 +48,10 @@
 
 
 class Service:
-    """One ingress, from its configuration to its end."""
+    """One ingress, from its configuration to its shutdown."""
 
     def __init__(self, config: Config, signals: Signals) -> None:
-        """Raises ValueError where the limits leave no room to serve."""
+        """Raises ValueError if the limits are too low to serve."""
         self.config, self.signals, self.clock = config, signals, Clock()
         self.log = Log(self.clock)
         now = self.clock()
@@ -57,15 +59,16 @@
         self.ending = asyncio.Event()
 
     async def run(self) -> None:
+        """Serves until SIGTERM or SIGINT. Raises OSError if it can't listen."""
         config, core = self.config, self.core
         listening = socket.create_server(config.listen)
         self.shell = shell = Shell(
             core, self.clock, peers=dict(enumerate(config.peers)), remark=self.log.remark, high_water=0,
             accept_at_once=ACCEPTED,
         )  # fmt: skip
-        if config.known is not None:
+        if config.known_list is not None:
             try:
-                core.begin_with(self.clock(), core.list.known(config.known))
+                core.begin_with(self.clock(), core.list.known(config.known_list))
             except UpdateError as problem:
                 core.tell(self.clock(), "error", "known_list_refused", why=str(problem))
         await shell.serve(*config.listen, config.peer_listen, listening=listening)
@@ -75,9 +78,9 @@
         shell.carry_out()
         if os.environ.get("EDGE_TRACE"):
             self.trace(Trace(core))
-        # Those that came since the process began are taken now; a second SIGTERM changes nothing.
-        asks = {signal.SIGHUP: self.reload, signal.SIGTERM: self.ending.set, signal.SIGINT: self.ending.set}
-        self.signals.attach(asyncio.get_running_loop(), asks)
+        # Signals received since the process began are handled now; a second SIGTERM changes nothing.
+        calls = {signal.SIGHUP: self.reload, signal.SIGTERM: self.ending.set, signal.SIGINT: self.ending.set}
+        self.signals.attach(asyncio.get_running_loop(), calls)
         try:
             await self.ending.wait()
             await self.end()
@@ -85,37 +88,38 @@
             self.signals.detach()
 
     def trace(self, trace: Trace) -> None:
+        """Writes a trace line now and once a second."""
         self.log.remark(c.Remark("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
-        """Take the configuration anew: whole, or not at all."""
+        """Reloads the configuration; an invalid one is refused and changes nothing."""
         now = self.clock()
         try:
             new = load(os.environ)
-            made = setup(new)
+            new_setup = setup(new)
         except ValueError as problem:
             self.core.tell(now, "error", "reload_refused", why=str(problem))
         else:
             self.config = new
-            self.core.reload(now, made)
+            self.core.reload(now, new_setup)
             self.core.tell(now, "info", "reloaded", discovery=new.discovery)
         self.shell.carry_out()
 
     async def end(self) -> None:
-        """Clients may come for a while yet, and are answered; then nobody new."""
+        """Shuts down: new clients are accepted and answered for ``ACCEPTING_S`` more, then none."""
         core, shell = self.core, self.shell
         core.tell(self.clock(), "info", "stopping", owed=core.engine.ledger.owed)
         core.leave(self.clock(), core.setup.settings)
         shell.carry_out()
-        await asyncio.sleep(LAST_S)
-        longest = max(k.deadline_ms for k in core.setup.settings.classes)
-        answered = await shell.stop(min(longest, KILL_MS) - BEFORE_MS)
+        await asyncio.sleep(ACCEPTING_S)
+        longest = max(request_class.deadline_ms for request_class in core.setup.settings.classes)
+        answered = await shell.stop(min(longest, PLATFORM_KILL_MS) - ANSWER_MARGIN_MS)
         self.log.remark(c.Remark("info", "stopped", {"answered": answered, **core.figures()}))
 
 
 def run(signals: Signals) -> int:
-    """One ingress, from its start to its end; returns the process's exit status."""
+    """Runs one ingress and returns the exit status: 2 for an invalid configuration, 1 if it can't listen."""
     try:
         service = Service(load(os.environ), signals)
     except ValueError as problem:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -90,5 +90,5 @@
         discovery=config.discovery,
         peers=config.peers,
         kept=budget.kept,
-        pool=PoolSettings(budget.backends, config.dial_ms, config.idle_ms),
+        pool=PoolSettings(budget.backends, config.dial_timeout_ms, config.idle_ms),
     )
--- a/rushweir/edge/signals.py
+++ b/rushweir/edge/signals.py
@@ -1,7 +1,8 @@
-"""The signals that an ingress is told by, from the process's first moment to its last.
+"""Handles the signals of an ingress from the start of the process to its end.
 
-The event loop's own handlers stand only once the loop runs, and fall with it: before and after that a SIGHUP ended
-the process, and a SIGTERM cut it off. These stand all the time; what comes before the ingress can act on it waits.
+The event loop's own handlers exist only while the loop runs: before and after that a SIGHUP would end the process,
+and a SIGTERM would end it without answers. These handlers are always installed, and signals that arrive before the
+ingress can act on them are deferred.
 """
 
 from __future__ import annotations
@@ -14,49 +15,50 @@
 if TYPE_CHECKING:
     import asyncio
 
-NUMBERS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
 class Signals:
-    """``install`` first of all, ``attach`` once there is somebody to act on them."""
+    """Signal handlers: ``install`` them first of all, and ``attach`` the calls once the event loop runs."""
 
     def __init__(self) -> None:
         self.loop: asyncio.AbstractEventLoop | None = None
         self.calls: Mapping[int, Callable[[], None]] = {}
-        self.waiting: dict[int, None] = {}  # those that nobody could act on yet, in their order
-        self.bell: tuple[socket.socket, socket.socket] | None = None  # wakes a loop that sleeps in its selector
+        self.deferred: dict[int, None] = {}  # received before ``attach``, in order of arrival
+        self.wakeup: tuple[socket.socket, socket.socket] | None = None  # wakes a loop that waits in its selector
 
     def install(self) -> None:
-        for number in NUMBERS:
-            signal.signal(number, self._came)
+        """Installs the handlers."""
+        for number in HANDLED:
+            signal.signal(number, self._received)
 
-    def _came(self, number: int, frame: Any) -> None:
+    def _received(self, number: int, frame: Any) -> None:
         if self.loop is None:
-            self.waiting[number] = None
+            self.deferred[number] = None
         else:
             self.loop.call_soon_threadsafe(self.calls[number])
 
     def attach(self, loop: asyncio.AbstractEventLoop, calls: Mapping[int, Callable[[], None]]) -> None:
-        """From now on each signal makes its call in the loop; those that waited make it at once."""
-        self.bell = ours, theirs = socket.socketpair()
-        for end in self.bell:
+        """Runs each signal's call in the loop from now on, and those of deferred signals at once."""
+        self.wakeup = reader, writer = socket.socketpair()
+        for end in self.wakeup:
             end.setblocking(False)
-        signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-        loop.add_reader(ours, self._rung, ours)
+        signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
+        loop.add_reader(reader, self._drain_wakeup, reader)
         self.loop, self.calls = loop, calls
-        waiting, self.waiting = self.waiting, {}
-        for number in waiting:
+        deferred, self.deferred = self.deferred, {}
+        for number in deferred:
             calls[number]()
 
     def detach(self) -> None:
-        """Nobody acts on them any more; they still don't end the process, which is about to end by itself."""
-        if self.loop is not None and self.bell is not None:
+        """Defers signals again: they must not end the process, which is about to end by itself."""
+        if self.loop is not None and self.wakeup is not None:
             signal.set_wakeup_fd(-1)
-            self.loop.remove_reader(self.bell[0])
-            for end in self.bell:
+            self.loop.remove_reader(self.wakeup[0])
+            for end in self.wakeup:
                 end.close()
-        self.loop = self.bell = None
+        self.loop = self.wakeup = None
 
-    def _rung(self, ours: socket.socket) -> None:
-        """The handlers ran, between this turn of the loop and the last; there is nothing more to it."""
-        ours.recv(4096)
+    def _drain_wakeup(self, reader: socket.socket) -> None:
+        """Empties the wake-up socket; the handlers have already run."""
+        reader.recv(4096)
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -13,7 +13,7 @@
 import pytest
 
 from rushweir.edge.front import QUIET_MS
-from rushweir.edge.service import LAST_S
+from rushweir.edge.service import ACCEPTING_S
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import LINGER_MS
 from tests.edge.conftest import Edge, answer, booking, request
@@ -80,7 +80,7 @@
     conn = edge.connect()
     edge.pass_ms(quiet)
     if ms + quiet >= COMES_MS:
-        edge.pass_ms(LAST_S * 1000 - ms - quiet)
+        edge.pass_ms(ACCEPTING_S * 1000 - ms - quiet)
         edge.core.stop(edge.now)
         edge.turn()
         edge.pass_ms(LINGER_MS - 1.0)
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -9,7 +9,7 @@
 from rushweir import interface as i
 from rushweir.discovery.source import Update
 from rushweir.edge.front import ClientConnection, Shared
-from rushweir.edge.http import MOST_BODY, MOST_FRAMING, AnswerReader, Malformed
+from rushweir.edge.http import MAX_BODY_BYTES, MAX_FRAMING_BYTES, AnswerReader, Malformed
 from rushweir.edge.members import Members
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, SETTINGS, answer, booking, request
@@ -128,14 +128,14 @@
     conn = front()
     conn.receive(chunked().partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + tail)
     given = 0
-    while not conn.end and given < 10 * MOST_FRAMING:
+    while not conn.end and given < 10 * MAX_FRAMING_BYTES:
         conn.receive(b"0" * 4096)
         given += 4096
-    assert given <= MOST_FRAMING + 4096 and b"HTTP/1.1 431 " in conn.take()[0][0]
+    assert given <= MAX_FRAMING_BYTES + 4096 and b"HTTP/1.1 431 " in conn.take()[0][0]
 
 
 def test_the_largest_body_in_the_smallest_pieces_that_are_allowed_passes():
-    body = b"x" * MOST_BODY
+    body = b"x" * MAX_BODY_BYTES
     pieces = [body[k : k + 9] for k in range(0, len(body), 9)]
     data = told(chunked(*pieces), b"0\r\n\r\n", b"0\r\nX-T: 1\r\n\r\n")
     assert read(*(data[k : k + 1460] for k in range(0, len(data), 1460)))[-1] == body
@@ -173,7 +173,7 @@
         reader.expect()
         first, second = reader.receive(data[:cut]), reader.receive(data[cut:])
         found = first or second
-        assert (found.status, found.body, found.headers[b"x-meter"]) == (200, b"good", b"40") and not reader.stray
+        assert (found.status, found.body, found.headers[b"x-meter"]) == (200, b"good", b"40") and not reader.unmatched
         assert found.keep is (name != "it will close")
 
 
@@ -210,5 +210,5 @@
     reader.expect()
     reader.receive(in_chunks(b"good")[:-2] + b"X: ")
     with pytest.raises(Malformed, match="trailers"):
-        for _ in range(MOST_FRAMING // 4096 + 2):
+        for _ in range(MAX_FRAMING_BYTES // 4096 + 2):
             reader.receive(b"y" * 4096)
--- a/tests/edge/test_process.py
+++ b/tests/edge/test_process.py
@@ -222,8 +222,8 @@
 
 
 @pytest.mark.parametrize(("page", "said"), [
-    (b"{", "config.json: line 1"), (b"{}", "config.json: settings: an object"),
-    (orjson.dumps({"settings": OPTIONS}), "config.json: listen: host:port"),
+    (b"{", "config.json: line 1"), (b"{}", "config.json: settings: must be an object"),
+    (orjson.dumps({"settings": OPTIONS}), "config.json: listen: must be host:port"),
     (orjson.dumps({"settings": {**OPTIONS, "classes": [{"name": "x"}]}}), "'aimMs' is missing"),
     (orjson.dumps({"settings": OPTIONS | {"ceilings": {"connIdleMs": "soon"}}}),
      "config.json: settings: ceilings.connIdleMs: a number from 0, not 'soon'"),
