--- a/benchmarks/settings_change.py
+++ b/benchmarks/settings_change.py
@@ -127,7 +127,7 @@
     from rushweir.config import live, load
     from rushweir.config.objects import objects
     from rushweir.ingress.core import Core
-    from rushweir.rollout.steps import Change
+    from rushweir.rollout.change_sets import Change
 
     before = rss()
     start, config = cpu_ms(lambda: load(first))
--- a/rushweir/cli/change.py
+++ b/rushweir/cli/change.py
@@ -16,7 +16,7 @@
 
 from rushweir.cli.ask import Daemon, NoDaemon, Refused
 from rushweir.link.text import printable
-from rushweir.rollout.steps import Change, Key
+from rushweir.rollout.change_sets import Change, Key
 
 MOST_BEHIND = 50  # lines about ingresses
 FETCHES = 5  # of all objects, where they change meanwhile
--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -34,7 +34,7 @@
 from rushweir.ingress.core import Core
 from rushweir.ingress.websocket import Setup
 from rushweir.rollout.ceilings import ANYBODY, NOBODY, Between, Doors, SlotError, acting
-from rushweir.rollout.steps import Change, Key
+from rushweir.rollout.change_sets import Change, Key
 
 FEW = 128  # changed objects of a kind that are put in place one by one, within a turn
 PIECE = 250  # objects that a start reads at once
--- a/rushweir/config/objects.py
+++ b/rushweir/config/objects.py
@@ -19,7 +19,7 @@
 from rushweir.config.show import quoted
 from rushweir.config.text import ConfigError, Problem, Spot, parse, plain
 from rushweir.config.values import words
-from rushweir.rollout.steps import MOST_OBJECT, Change, Key
+from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, Key
 
 SINGLE = ("rules", "limits", "clients", "nodes", "prices", "pricing", "overload", "budgets", "trace", "log")
 KINDS: dict[str, type[BaseModel]] = {
@@ -105,8 +105,8 @@
     model, path = KINDS.get(kind), path_of(key)
     if model is None or bool(name) != (kind in NAMED):
         raise Refused([(key, "", "no kind of settings that this ingress knows, or no name of one")])
-    if len(data) > MOST_OBJECT:
-        raise Refused([(key, "", f"more than {MOST_OBJECT} bytes")])
+    if len(data) > MAX_OBJECT_BYTES:
+        raise Refused([(key, "", f"more than {MAX_OBJECT_BYTES} bytes")])
     problems: list[Problem] = []
     spots: dict[tuple, Spot] = {}
     try:
--- a/rushweir/daemon/control_disk.py
+++ b/rushweir/daemon/control_disk.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from rushweir.daemon.control_files import ControlFiles, Place, Write
-from rushweir.rollout.orders import Fold
+from rushweir.rollout.commands import Compact
 
 
 class Written(Protocol):
@@ -51,7 +51,7 @@
             orders, self.waiting = self.waiting, []
             last, placed = await asyncio.to_thread(self.files.carry, orders)
             for order in orders:
-                if isinstance(order, Fold) and not self.closing:
+                if isinstance(order, Compact) and not self.closing:
                     self.making = asyncio.get_running_loop().create_task(
                         self._guarded(self._make, order, self.making)
                     )
@@ -61,7 +61,7 @@
                 self.told.kept(last)
         self.writing = None
 
-    async def _make(self, fold: Fold, before: asyncio.Task | None) -> None:
+    async def _make(self, fold: Compact, before: asyncio.Task | None) -> None:
         if before is not None:  # one at a time; one that a Rewrite ended is soon over
             await asyncio.wait([before])
         await asyncio.to_thread(self.files.make, fold)
--- a/rushweir/daemon/control_files.py
+++ b/rushweir/daemon/control_files.py
@@ -16,7 +16,7 @@
 from rushweir.daemon.lock import StateLock
 from rushweir.files import replace_file
 from rushweir.rollout import storage
-from rushweir.rollout.orders import Append, Fold, Rewrite
+from rushweir.rollout.commands import Append, Compact, Rewrite
 from rushweir.rollout.storage import Kept, StorageError
 
 NAME, HALF_MADE = "steps.log", "steps.log.fold"
@@ -27,10 +27,10 @@
 class Place:
     """The file that this fold asked for is made: it may take its place."""
 
-    fold: Fold
+    fold: Compact
 
 
-Write = Append | Rewrite | Fold | Place
+Write = Append | Rewrite | Compact | Place
 
 
 class ControlFiles:
@@ -43,7 +43,7 @@
         self.lock = StateLock(folder)
         self.fd = self.half_fd = -1
         self.size = 0  # of the file, with what is not synced yet
-        self.fold: Fold | None = None  # on its way
+        self.fold: Compact | None = None  # on its way
         self.from_ = 0  # what it replaces ends there; what is behind stays
         try:
             if copies:
@@ -103,7 +103,7 @@
                 case Rewrite():
                     self._rewrite(order)
                     last = order.serial
-                case Fold():
+                case Compact():
                     self.fold, self.from_ = order, self.size
                 case Place() if self.fold is order.fold:
                     self._place()
@@ -120,7 +120,7 @@
         self.fd = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         self.size, self.fold = len(data), None
 
-    def make(self, fold: Fold) -> None:
+    def make(self, fold: Compact) -> None:
         """Write the file that a fold asks for, beside the one that is appended to; it may run beside ``carry``, and
         once at a time. Raises OSError."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
--- a/rushweir/daemon/control_operators.py
+++ b/rushweir/daemon/control_operators.py
@@ -17,12 +17,12 @@
 
 from rushweir.daemon.control import MOST_CONNECTIONS, Lines, OperatorError, answer, ask
 from rushweir.link import rpc
-from rushweir.rollout.steps import MOST_STEP
+from rushweir.rollout.change_sets import MAX_CHANGE_SET_BYTES
 
 if TYPE_CHECKING:
     from rushweir.daemon.control_process import ControlProcess
 
-MOST_LINE = 2 * MOST_STEP  # of a question: a step in base64
+MOST_LINE = 2 * MAX_CHANGE_SET_BYTES  # of a question: a step in base64
 OBJECTS_BYTES = 1_048_576  # of objects in one answer, and one more
 
 
--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -23,10 +23,20 @@
 from rushweir.ingress.shell import calm_collector
 from rushweir.link import rpc
 from rushweir.link.upstream import Upstream
+from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.commands import (
+    Append,
+    Committed,
+    Compact,
+    LogEvent,
+    Objects,
+    ProposalAnswered,
+    Rewrite,
+    Send,
+    SnapshotInstalled,
+)
 from rushweir.rollout.control import Control
-from rushweir.rollout.control_mail import MOST_TEXT, NONCE, OPEN, READY, Mail, MailError
-from rushweir.rollout.orders import Answered, Append, Committed, Fold, Jumped, Note, Objects, Rewrite, Send
-from rushweir.rollout.steps import Change, Step
+from rushweir.rollout.control_channel import MAX_MESSAGE_BYTES, NONCE_BYTES, OPEN, READY, ChannelError, SealedChannel
 
 PAUSE_MS, CONNECT_MS, PING_MS = (100.0, 1_000.0), 1_000.0, 1_000.0
 MOST_FORWARDED = 64  # proposals that another process was asked to make
@@ -55,7 +65,7 @@
 
     def jumped(self, now: float, number: int, objects: Objects) -> None: ...
 
-    def committed(self, now: float, step: Step) -> None: ...
+    def committed(self, now: float, step: ChangeSet) -> None: ...
 
     def set_current(self, now: float, current: bool) -> None: ...
 
@@ -80,7 +90,7 @@
     def __init__(self, process: ControlProcess, send: Callable[[bytes], None], close: Callable[[str], None]) -> None:
         self.process, self.send_text, self.close = process, send, close
         config = process.config
-        self.mail = Mail(config.me, config.count, config.key, secrets.token_bytes(NONCE))
+        self.mail = SealedChannel(config.me, config.count, config.key, secrets.token_bytes(NONCE_BYTES))
         self.send_text(self.mail.hello())
 
     def send(self, body: list[Any]) -> None:
@@ -96,7 +106,7 @@
         before = self.mail.state
         try:
             body = read(given)
-        except MailError as problem:
+        except ChannelError as problem:
             self.process.log("warning", "control_link_refused", peer=self.mail.peer, why=str(problem))
             self.close(str(problem))
             return
@@ -124,7 +134,7 @@
         self.link = Upstream(
             self, url, {}, seed=secrets.randbits(32), new_conn=dials.new_conn,
             at=lambda when, what, argument: dials.at(when, what, argument, self.link), pause_ms=PAUSE_MS,
-            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MOST_TEXT,
+            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
         )  # fmt: skip
         self.link.start(process.clock())
         dials.carry(self.link)
@@ -188,8 +198,10 @@
         self.lines: dict[int, Line] = {}
         self.watchers: dict[int, Served] = {}
         self.watchers_serial = self.tickets = 0
-        self.answers: dict[int, asyncio.Future[Answered]] = {}
-        self.forwarded: dict[int, tuple[int, asyncio.Future[Answered]]] = {}  # by ticket: whom it was given to
+        self.answers: dict[int, asyncio.Future[ProposalAnswered]] = {}
+        self.forwarded: dict[
+            int, tuple[int, asyncio.Future[ProposalAnswered]]
+        ] = {}  # by ticket: whom it was given to
         self.timer: asyncio.TimerHandle | None = None
         self.ending = asyncio.Event()
         self.carrying = False
@@ -213,7 +225,7 @@
             paths["/watch"] = lambda wire: Watcher(self, wire)
         host, port = self.config.addresses[self.config.me]
         server = await loop.create_server(
-            lambda: Served(paths, self.wires, MOST_TEXT), host, port, backlog=BACKLOG, reuse_address=True
+            lambda: Served(paths, self.wires, MAX_MESSAGE_BYTES), host, port, backlog=BACKLOG, reuse_address=True
         )
         try:
             async with operators(self):
@@ -253,7 +265,7 @@
         for ticket, (to, future) in list(self.forwarded.items()):
             if to == peer and not future.done():
                 why = f"the connection to control process {peer}, which leads, was lost: the change may be in force"
-                future.set_result(Answered(ticket, None, why, -1, unsure=True))
+                future.set_result(ProposalAnswered(ticket, None, why, -1, unsure=True))
 
     def received(self, line: Line, body: list[Any]) -> None:
         peer = line.mail.peer
@@ -266,7 +278,7 @@
                 task.add_done_callback(self.tasks.discard)
             case ["proposed", int(ticket), number, str(why), int(leader), bool(unsure)]:
                 if ticket in self.forwarded and not self.forwarded[ticket][1].done():
-                    self.forwarded[ticket][1].set_result(Answered(ticket, number, why, leader, unsure))
+                    self.forwarded[ticket][1].set_result(ProposalAnswered(ticket, number, why, leader, unsure))
             case ["report", told]:
                 self.tell_sessions("take_report", told)
             case _:
@@ -275,7 +287,7 @@
 
     # --- proposals -------------------------------------------------------------------------------
 
-    async def propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> Answered:
+    async def propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> ProposalAnswered:
         """Here, or by the one that leads."""
         leader = self.core.leader
         if leader in self.lines and leader != self.config.me and len(self.forwarded) < MOST_FORWARDED:
@@ -287,12 +299,12 @@
                 return await asyncio.wait_for(future, FORWARD_S)
             except TimeoutError:
                 why = f"control process {leader}, which leads, does not answer: the change may come into force yet"
-                return Answered(ticket, None, why, -1, unsure=True)
+                return ProposalAnswered(ticket, None, why, -1, unsure=True)
             finally:
                 del self.forwarded[ticket]
         return await self._propose(changes, author, base)
 
-    async def _propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> Answered:
+    async def _propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> ProposalAnswered:
         self.tickets += 1
         ticket = self.tickets
         future = self.answers[ticket] = asyncio.get_running_loop().create_future()
@@ -332,18 +344,18 @@
             case Send():
                 if (line := self.lines.get(order.peer)) is not None:
                     line.send(order.body)
-            case Append() | Rewrite() | Fold():
+            case Append() | Rewrite() | Compact():
                 self.disk.add(order)
-            case Answered():
+            case ProposalAnswered():
                 if (future := self.answers.pop(order.ticket, None)) is not None and not future.done():
                     future.set_result(order)
-            case Note():
+            case LogEvent():
                 self.log(order.level, order.cause, **order.fields)
             case Committed():
-                self.log("info", "step_in_force", number=order.step.number, author=order.step.author)
+                self.log("info", "step_in_force", number=order.step.version, author=order.step.author)
                 if self.sessions is not None:
                     self.sessions.committed(self.clock(), order.step)
-            case Jumped() if self.sessions is not None:
+            case SnapshotInstalled() if self.sessions is not None:
                 self.sessions.jumped(self.clock(), order.number, order.objects)
 
     def kept(self, serial: int) -> None:
--- a/rushweir/daemon/reloading.py
+++ b/rushweir/daemon/reloading.py
@@ -13,7 +13,7 @@
 from rushweir.daemon.decisions import needs_restart
 from rushweir.daemon.notify import notify, reloading
 from rushweir.rollout.ceilings import OVER_TERMS
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 
 class Reloads(Protocol):
--- a/rushweir/daemon/rollout_files.py
+++ b/rushweir/daemon/rollout_files.py
@@ -17,8 +17,8 @@
 from rushweir.rollout import kept as disk
 from rushweir.rollout.book import Book, Data, record, records
 from rushweir.rollout.ceilings import Between
+from rushweir.rollout.change_sets import Key
 from rushweir.rollout.kept import Append, Kept
-from rushweir.rollout.steps import Key
 from rushweir.rollout.watching import Keep
 
 BOOK, LOG, BETWEEN = "rollout.book", "rollout.log", "rollout.between"
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -31,8 +31,8 @@
 from rushweir.daemon.rollout_files import Files, Objects
 from rushweir.link.websocket import Messages, client_protocol
 from rushweir.rollout.ceilings import ANYBODY, Between
+from rushweir.rollout.change_sets import Change
 from rushweir.rollout.kept import Kept, Rewrite
-from rushweir.rollout.steps import Change
 from rushweir.rollout.watch_mail import MOST_MESSAGE
 from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
--- a/rushweir/lab/scale/rollout_roles.py
+++ b/rushweir/lab/scale/rollout_roles.py
@@ -15,8 +15,8 @@
 from rushweir.lab.scale.samples import Role, Sample
 from rushweir.lab.sim.rollout_days import CONTROLS, ZONES
 from rushweir.lab.sim.rollout_world import Control, Ingress, Wire, World
+from rushweir.rollout.change_sets import Change
 from rushweir.rollout.sending import Sending
-from rushweir.rollout.steps import Change
 from rushweir.rollout.watching import Watching
 
 SEED = 1
--- a/rushweir/lab/sim/control_days.py
+++ b/rushweir/lab/sim/control_days.py
@@ -27,10 +27,10 @@
 from rushweir.lab.sim.days import cut_down
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.world import Process, World
+from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.commands import Committed, LogEvent, Objects, ProposalAnswered, Send, SnapshotInstalled
 from rushweir.rollout.election import LEADER
 from rushweir.rollout.log import apply
-from rushweir.rollout.orders import Answered, Committed, Jumped, Note, Objects, Send
-from rushweir.rollout.steps import Change, Step
 
 Fault = tuple[float, str, tuple]
 TOGETHER_MS = 12_000.0  # after the last fault, until all must be as one and have taken a change
@@ -75,11 +75,11 @@
         self.world = World(seed)
         self.controls = Controls(self.world, size.count, make, believe, disk)
         self.majority = size.count // 2 + 1
-        self.truth: dict[int, Step] = {}  # what was told to be in force, by number
+        self.truth: dict[int, ChangeSet] = {}  # what was told to be in force, by number
         self.told: dict[Process, int] = {}  # the newest number of each life
         self.leaders: dict[int, Process] = {}
         self.asked: dict[int, tuple[tuple[Change, ...], int | None]] = {}  # changes and base, by ticket
-        self.answers: dict[int, Answered] = {}
+        self.answers: dict[int, ProposalAnswered] = {}
         self.open = True
         self.world.watchers.append(self._order)
         self.world.after.append(self._look)
@@ -163,13 +163,13 @@
     def _order(self, p: Process, order: Any) -> None:
         if isinstance(order, Committed):
             self._in_force(p, order.step)
-        elif isinstance(order, Jumped):
+        elif isinstance(order, SnapshotInstalled):
             if self.told.get(p, 0) > order.number:
                 raise Broken(f"{p.name} goes back from step {self.told[p]} to {order.number}")
             self.told[p] = order.number
             if order.objects != replay(self.truth, order.number):
                 raise Broken(f"{p.name} has another whole at step {order.number}")
-        elif isinstance(order, Note):
+        elif isinstance(order, LogEvent):
             if order.cause == "leads" and self.falls:
                 self.falls -= 1
                 self.world.later(0.0, self.propose, p.name, None, False)
@@ -179,35 +179,37 @@
                 kept = self.controls.on_disk(p.name)
                 if (kept.term, kept.voted) != (order.body[1], order.peer):
                     raise Broken(f"{p.name} tells a vote in term {order.body[1]} that is not on its disk")
-        elif isinstance(order, Answered):
+        elif isinstance(order, ProposalAnswered):
             self.answers[order.ticket] = order
             if order.number is not None:
                 self._confirmed(p, order)
 
-    def _in_force(self, p: Process, step: Step) -> None:
-        last, self.told[p] = self.told.get(p, 0), step.number
-        if step.number != last + 1:
-            raise Broken(f"{p.name} tells step {step.number} behind step {last}")
-        if step.number not in self.truth:
+    def _in_force(self, p: Process, step: ChangeSet) -> None:
+        last, self.told[p] = self.told.get(p, 0), step.version
+        if step.version != last + 1:
+            raise Broken(f"{p.name} tells step {step.version} behind step {last}")
+        if step.version not in self.truth:
             self._counted(p, step)
-        known = self.truth.setdefault(step.number, step)
+        known = self.truth.setdefault(step.version, step)
         if known != step:
-            raise Broken(f"two steps under number {step.number}: of {known.author} and of {step.author}")
+            raise Broken(f"two steps under number {step.version}: of {known.author} and of {step.author}")
         changes, base = self.asked[int(step.author)]
         keys = {c.key for c in changes}
         if base is not None:
-            for n in range(base + 1, step.number):
+            for n in range(base + 1, step.version):
                 if keys & {c.key for c in self.truth[n].changes}:
-                    raise Broken(f"step {step.number} was made on version {base}, and step {n} changed the same")
+                    raise Broken(f"step {step.version} was made on version {base}, and step {n} changed the same")
 
-    def _counted(self, p: Process, step: Step) -> None:
+    def _counted(self, p: Process, step: ChangeSet) -> None:
         """First told by its leader: one of the leader's own term lies with it on the disks of a majority."""
         term = p.core.core.term
         on = [k for k in range(self.size.count) if any(e.term == term for e in self.controls.on_disk(k).entries)]
         if len(on) < self.majority:
-            raise Broken(f"{p.name} puts step {step.number} in force, and what it leads with is on the disks of {on}")
+            raise Broken(
+                f"{p.name} puts step {step.version} in force, and what it leads with is on the disks of {on}"
+            )
 
-    def _confirmed(self, p: Process, a: Answered) -> None:
+    def _confirmed(self, p: Process, a: ProposalAnswered) -> None:
         step = self.truth.get(a.number or 0)
         if step is None or step.author != str(a.ticket):
             raise Broken(f"{p.name} confirms {a.number} to another than it was told for")
@@ -215,9 +217,9 @@
         if len(on) < self.majority:
             raise Broken(f"{p.name} confirms step {a.number}, which is on the disks of {on}")
 
-    def _has(self, k: int, step: Step) -> bool:
+    def _has(self, k: int, step: ChangeSet) -> bool:
         kept = self.controls.on_disk(k)
-        return step.number <= kept.base.number or any(e.step == step for e in kept.entries)
+        return step.version <= kept.base.number or any(e.step == step for e in kept.entries)
 
     def _look(self, p: Process) -> None:
         control = p.core.core
@@ -237,7 +239,7 @@
             raise Broken(f"{k} is cut off and takes a change")
 
 
-def replay(steps: dict[int, Step], until: int) -> Objects:
+def replay(steps: dict[int, ChangeSet], until: int) -> Objects:
     objects: Objects = {}
     for n in range(1, until + 1):
         apply(objects, steps[n])
--- a/rushweir/lab/sim/control_faults.py
+++ b/rushweir/lab/sim/control_faults.py
@@ -8,7 +8,7 @@
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.world import Process, World
 from rushweir.rollout import storage
-from rushweir.rollout.steps import Step
+from rushweir.rollout.change_sets import ChangeSet
 
 LONGEST_MS = 20_000.0  # of a fault
 SAYS_SO_MS = 4_500.0  # after a cut, until who is cut off must say so: three election times
@@ -23,7 +23,7 @@
     controls: Controls
     size: Any
     majority: int
-    truth: dict[int, Step]
+    truth: dict[int, ChangeSet]
     open: bool
     propose: Any
     _has: Any
--- a/rushweir/lab/sim/control_plants.py
+++ b/rushweir/lab/sim/control_plants.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from rushweir.lab.sim.control_world import BOUNDS
+from rushweir.rollout.commands import Send
 from rushweir.rollout.control import Control
-from rushweir.rollout.control_fold import RESTING, Folding
-from rushweir.rollout.control_follow import Follower
 from rushweir.rollout.control_proposals import Proposals
-from rushweir.rollout.orders import Send
+from rushweir.rollout.follower import Follower
+from rushweir.rollout.log_compaction import RESTING, LogCompaction
 from rushweir.rollout.storage import Kept
 
 
@@ -81,7 +81,7 @@
         return
 
 
-class RestlessFolding(Folding):
+class RestlessCompaction(LogCompaction):
     def turn(self) -> None:
         self.state = RESTING
         super().turn()
@@ -90,7 +90,7 @@
 class Restless(Control):
     def __init__(self, *given: Any, **named: Any) -> None:
         super().__init__(*given, **named)
-        self.folding = RestlessFolding(self)
+        self.folding = RestlessCompaction(self)
 
 
 KINDS = {
--- a/rushweir/lab/sim/control_world.py
+++ b/rushweir/lab/sim/control_world.py
@@ -14,10 +14,10 @@
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.world import DISK_MS, QUEUE, Process, World
 from rushweir.rollout import storage
+from rushweir.rollout.change_sets import Change
+from rushweir.rollout.commands import Append, Compact, Rewrite, Send
 from rushweir.rollout.control import Control
 from rushweir.rollout.log import Bounds
-from rushweir.rollout.orders import Append, Fold, Rewrite, Send
-from rushweir.rollout.steps import Change
 from rushweir.rollout.storage import Kept
 
 MAKE_MS = ((1.0, 400.0), (400.0, 4_000.0), (4_000.0, 20_000.0))  # until the file that a fold asked for is made
@@ -127,7 +127,7 @@
 class Place:
     """The file that a fold asked for is made."""
 
-    fold: Fold
+    fold: Compact
 
 
 @dataclass(slots=True)
@@ -139,20 +139,20 @@
     data: bytes
     forget: bool = False  # planted: a fold's file lacks what was written meanwhile
     over: bool = False  # planted: a fold's file takes its place though another whole came between
-    writing: deque[tuple[Append | Rewrite | Fold | Place, bytes]] = field(default_factory=deque)
+    writing: deque[tuple[Append | Rewrite | Compact | Place, bytes]] = field(default_factory=deque)
     free_at: float = 0.0
-    fold: Fold | None = None
+    fold: Compact | None = None
     wanted: bytes = b""  # the fold's file, as it was asked for
     from_: int = 0  # what the fold replaces ends there
     copies: list[bytes] = field(default_factory=list)  # older ones
 
-    def asked(self, order: Append | Rewrite | Fold | Place) -> None:
+    def asked(self, order: Append | Rewrite | Compact | Place) -> None:
         data = b""
         if not isinstance(order, Place):
             data = (storage.pack if isinstance(order, Append) else storage.whole)(order.records)
         self.writing.append((order, data))
 
-    def done(self) -> Append | Rewrite | Fold | Place | None:
+    def done(self) -> Append | Rewrite | Compact | Place | None:
         """The next of it is on disk; None: a fold's file that is wanted no more."""
         order, data = self.writing.popleft()
         match order:
@@ -161,7 +161,7 @@
             case Rewrite():
                 self._same(order, data)
                 self.data, self.fold = data, None
-            case Fold():
+            case Compact():
                 self.fold, self.wanted, self.from_ = order, data, len(self.data)
             case Place() if self.fold is order.fold or self.over:
                 made = self.wanted if self.fold is order.fold else storage.whole(order.fold.records)
@@ -172,7 +172,7 @@
         return order
 
     @staticmethod
-    def _same(order: Rewrite | Fold, asked: bytes) -> None:
+    def _same(order: Rewrite | Compact, asked: bytes) -> None:
         if storage.whole(order.records) != asked:
             raise Broken("what a whole file is made of was changed before it was written")
 
@@ -243,10 +243,10 @@
     def _order(self, p: Process, order: Any) -> None:
         if isinstance(order, Send):
             self.streams.send(p.name, order.peer, order.body)
-        elif isinstance(order, Append | Rewrite | Fold):
+        elif isinstance(order, Append | Rewrite | Compact):
             self._asked(p, order)
 
-    def _asked(self, p: Process, order: Append | Rewrite | Fold | Place) -> None:
+    def _asked(self, p: Process, order: Append | Rewrite | Compact | Place) -> None:
         if not p.up:
             return
         disk = self.disks[p.name]
@@ -259,7 +259,7 @@
         if not p.up:
             return
         match self.disks[p.name].done():
-            case Fold() as fold:
+            case Compact() as fold:
                 ms = self.world.rng.uniform(*self.world.rng.choice(MAKE_MS))
                 self.world.later(ms, self._asked, p, Place(fold))
             case Place(fold):
--- a/rushweir/lab/sim/rollout_days.py
+++ b/rushweir/lab/sim/rollout_days.py
@@ -21,9 +21,9 @@
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.rollout_watch import IN_FORCE_MS, Watched
 from rushweir.rollout.book import Book, entry, packed
+from rushweir.rollout.change_sets import Change, Key
 from rushweir.rollout.kept import MAGIC
 from rushweir.rollout.sending_records import Rates
-from rushweir.rollout.steps import Change, Key
 
 Script = list[tuple[float, str, tuple]]
 START_MS = 6_000.0  # all are together
--- a/rushweir/lab/sim/rollout_plants.py
+++ b/rushweir/lab/sim/rollout_plants.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout.change_sets import ChangeSet, pack, unpack
 from rushweir.rollout.sending import Sending
-from rushweir.rollout.steps import Step, pack, unpack
 from rushweir.rollout.watching import Watching
 from rushweir.rollout.watching_ahead import Ahead, Delta
 
@@ -22,13 +22,13 @@
 
 
 class Bulky(Sending):
-    def _step(self, step: Step, digest: bytes) -> bytes:
+    def _step(self, step: ChangeSet, digest: bytes) -> bytes:
         objects = [row for part in self.book.parts for row in part.items()]
         return mail.write("rollout.step", {"step": pack(step), "digest": digest, "objects": objects}, self.key)
 
 
 class Forgotten(Sending):
-    def committed(self, now: float, step: Step) -> None:
+    def committed(self, now: float, step: ChangeSet) -> None:
         super().committed(now, step)
         self.book.gone.clear()
 
@@ -50,7 +50,7 @@
 class Hasty(Watching):
     def _step(self, fields: dict[str, Any]) -> None:
         step = unpack(fields["step"])
-        if step.number <= self.ahead.version + 1:
+        if step.version <= self.ahead.version + 1:
             super()._step(fields)
             return
         self.ahead.__class__ = Taken
--- a/rushweir/lab/sim/rollout_watch.py
+++ b/rushweir/lab/sim/rollout_watch.py
@@ -19,8 +19,8 @@
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.rollout_world import KEY, Control, Ingress, Wire, World
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout.change_sets import Change, Key, pack, unpack
 from rushweir.rollout.sending_records import PIECE, Rates
-from rushweir.rollout.steps import Change, Key, pack, unpack
 
 IN_FORCE_MS = 11_000.0
 LOOK_MS = 500.0
@@ -110,7 +110,7 @@
             self._mend(c, wire, data)
         elif b'"rollout.step"' in data[:60] and data not in self.steps:  # the same bytes go to all
             self.steps.add(data)
-            most = MESSAGE + 1.4 * self.sizes[unpack(mail.read(data, KEY)[1]["step"]).number]
+            most = MESSAGE + 1.4 * self.sizes[unpack(mail.read(data, KEY)[1]["step"]).version]
             if len(data) > most:
                 raise Broken(f"{c.name} sent a step of {len(data)} bytes, {most:.0f} by what it changes")
 
--- a/rushweir/lab/sim/rollout_world.py
+++ b/rushweir/lab/sim/rollout_world.py
@@ -18,11 +18,11 @@
 
 from rushweir.rollout import kept as disk
 from rushweir.rollout.book import Book
+from rushweir.rollout.change_sets import Change, ChangeSet, Key
 from rushweir.rollout.kept import Append
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Rates, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.steps import Change, Key, Step
 from rushweir.rollout.watching import Apply, Keep, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
 
@@ -94,7 +94,7 @@
         self.cut: set[frozenset[int]] = set()  # pairs of zones
         self.apart: set[str] = set()  # control processes that no other control process reaches
         self.alter = self.double = self.swap = 0.0
-        self.log: list[Step] = []
+        self.log: list[ChangeSet] = []
         self.refusers: dict[str, set[bytes]] = {}  # what an ingress does not take
         self.counts: Counter[str] = Counter()
         rng = self.rng
@@ -374,7 +374,7 @@
         """Whether a majority took it."""
         if not any(self.majority(c) for c in self.controls):
             return False
-        self.log.append(Step(len(self.log) + 1, changes))
+        self.log.append(ChangeSet(len(self.log) + 1, changes))
         return True
 
     def _logs(self) -> None:
--- a/rushweir/rollout/book.py
+++ b/rushweir/rollout/book.py
@@ -24,7 +24,7 @@
 
 import msgpack
 
-from rushweir.rollout.steps import MOST_OBJECT, Key, Step
+from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, ChangeSet, Key
 
 PARTS = 256
 DIGEST = 16  # bytes of a digest
@@ -170,13 +170,13 @@
 
     # --- what changes it -------------------------------------------------------------------------
 
-    def take(self, step: Step) -> None:
+    def take(self, step: ChangeSet) -> None:
         """The next step. Raises BookError where it is not the next."""
-        if step.number != self.version + 1:
-            raise BookError(f"step {step.number} does not follow on version {self.version}")
+        if step.version != self.version + 1:
+            raise BookError(f"step {step.version} does not follow on version {self.version}")
         for c in step.changes:
-            self.set(packed(c.key), step.number, None if c.data is None else entry(step.number, c.data))
-        self.version = step.number
+            self.set(packed(c.key), step.version, None if c.data is None else entry(step.version, c.data))
+        self.version = step.version
 
     def put(self, rows: Iterable[Row], version: int) -> None:
         """What differs, as ``since`` of another book names it, up to its version."""
@@ -314,5 +314,5 @@
     """Raises BookError unless this can be a row of a book."""
     if type(text) is not str or not text or not 0 < ord(text[0]) < len(text):
         raise BookError("a row without a key")
-    if held is not None and (type(held) is not bytes or not 8 <= len(held) <= MOST_OBJECT + 8):
+    if held is not None and (type(held) is not bytes or not 8 <= len(held) <= MAX_OBJECT_BYTES + 8):
         raise BookError(f"{' '.join(key_of(text))}: no object with its version")
--- a/rushweir/rollout/steps.py
+++ b/rushweir/rollout/change_sets.py
@@ -15,13 +15,13 @@
 
 Key = tuple[str, str]  # kind, name
 
-MOST_CHANGES = 4_096  # of one step; a larger one is a mistake, or is made as several
-MOST_STEP = 1_048_576  # bytes of one step
-MOST_OBJECT = 65_536  # bytes of one object
-MOST_NAME = 128  # characters of a kind or name; as config/models.py has it
+MAX_CHANGES = 4_096  # of one step; a larger one is a mistake, or is made as several
+MAX_CHANGE_SET_BYTES = 1_048_576  # bytes of one step
+MAX_OBJECT_BYTES = 65_536  # bytes of one object
+MAX_NAME_CHARS = 128  # characters of a kind or name; as config/models.py has it
 
 
-class StepError(ValueError):
+class ChangeSetError(ValueError):
     """Bytes that are no step, or a step beyond the bounds; the text names the object."""
 
 
@@ -34,45 +34,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """``number`` is the version of the whole that it makes."""
+class ChangeSet:
+    """``version`` numbers it, and the settings that it makes."""
 
-    number: int
+    version: int
     changes: tuple[Change, ...]
     author: str = ""
 
 
-def checked(changes: tuple[Change, ...]) -> tuple[Change, ...]:
-    """The changes, if a step may carry them. Raises StepError."""
-    if not 1 <= len(changes) <= MOST_CHANGES:
-        raise StepError(f"a step changes 1 to {MOST_CHANGES} objects, not {len(changes)}")
+def validate_changes(changes: tuple[Change, ...]) -> tuple[Change, ...]:
+    """The changes, if a step may carry them. Raises ChangeSetError."""
+    if not 1 <= len(changes) <= MAX_CHANGES:
+        raise ChangeSetError(f"a step changes 1 to {MAX_CHANGES} objects, not {len(changes)}")
     seen, size = set[Key](), 0
     for c in changes:
         kind, name = c.key
-        if not (0 < len(kind) <= MOST_NAME and len(name) <= MOST_NAME):
-            raise StepError(f"{kind[:40]} {name[:40]}: kind and name of at most {MOST_NAME} characters")
+        if not (0 < len(kind) <= MAX_NAME_CHARS and len(name) <= MAX_NAME_CHARS):
+            raise ChangeSetError(f"{kind[:40]} {name[:40]}: kind and name of at most {MAX_NAME_CHARS} characters")
         if c.key in seen:
-            raise StepError(f"{kind} {name}: changed twice in one step")
-        if c.data is not None and len(c.data) > MOST_OBJECT:
-            raise StepError(f"{kind} {name}: more than {MOST_OBJECT} bytes")
+            raise ChangeSetError(f"{kind} {name}: changed twice in one step")
+        if c.data is not None and len(c.data) > MAX_OBJECT_BYTES:
+            raise ChangeSetError(f"{kind} {name}: more than {MAX_OBJECT_BYTES} bytes")
         seen.add(c.key)
         size += len(kind) + len(name) + len(c.data or b"")
-    if size > MOST_STEP:
-        raise StepError(f"a step of {size} bytes, {MOST_STEP} at most")
+    if size > MAX_CHANGE_SET_BYTES:
+        raise ChangeSetError(f"a step of {size} bytes, {MAX_CHANGE_SET_BYTES} at most")
     return changes
 
 
-def row(step: Step) -> list[Any]:
+def to_row(step: ChangeSet) -> list[Any]:
     """As it stands in messages and files that msgpack packs."""
-    return [step.number, step.author, [[*c.key, c.data] for c in step.changes]]
+    return [step.version, step.author, [[*c.key, c.data] for c in step.changes]]
 
 
-def pack(step: Step) -> bytes:
-    return msgpack.packb(row(step))
+def pack(step: ChangeSet) -> bytes:
+    return msgpack.packb(to_row(step))
 
 
-def from_row(told: Any) -> Step:
-    """Raises StepError."""
+def from_row(told: Any) -> ChangeSet:
+    """Raises ChangeSetError."""
     try:
         number, author, rows = told
         changes = tuple(Change((kind, name), data) for kind, name, data in rows)
@@ -81,16 +81,16 @@
             for c in changes
         )  # fmt: skip
     except (ValueError, TypeError) as problem:
-        raise StepError(f"not a step: {problem}") from None
+        raise ChangeSetError(f"not a step: {problem}") from None
     if not sound:
-        raise StepError("not a step: a part of another type")
-    return Step(number, checked(changes), author)
+        raise ChangeSetError("not a step: a part of another type")
+    return ChangeSet(number, validate_changes(changes), author)
 
 
-def unpack(data: bytes) -> Step:
-    """Raises StepError."""
+def unpack(data: bytes) -> ChangeSet:
+    """Raises ChangeSetError."""
     try:
         told = msgpack.unpackb(data)
     except (ValueError, msgpack.UnpackException) as problem:
-        raise StepError(f"not a step: {problem}") from None
+        raise ChangeSetError(f"not a step: {problem}") from None
     return from_row(told)
--- a/rushweir/rollout/orders.py
+++ b/rushweir/rollout/commands.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rushweir.rollout.steps import Key, Step
+from rushweir.rollout.change_sets import ChangeSet, Key
 
 Objects = dict[Key, tuple[int, bytes]]  # each object that there is: the step that last changed it, its data
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Fold:
+class Compact:
     """Make the file anew, shorter, when it suits: these records, and behind them all that was asked for after this
     serial. Nothing waits for it, and whoever is killed before has lost nothing. Say ``folded`` with the serial when
     the new file is in place. A ``Rewrite`` after it ends it. The records are made as a Rewrite's."""
@@ -49,13 +49,13 @@
 
 @dataclass(slots=True)
 class Committed:
-    """A step is in force: a majority has it on disk. They come in order and without a gap, but for ``Jumped``."""
+    """A change set is committed. In order of versions, without a gap except at ``SnapshotInstalled``."""
 
-    step: Step
+    step: ChangeSet
 
 
 @dataclass(slots=True)
-class Jumped:
+class SnapshotInstalled:
     """This process was so far behind that it took the whole: ``number`` is in force, ``objects`` is all there is."""
 
     number: int
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class ProposalAnswered:
     """What became of a proposal: the number of its step, which is in force now, or why not.
 
     ``leader`` is whom to ask instead, -1: nobody known. ``unsure``: it may come into force yet; nobody was told so.
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogEvent:
     """For the log."""
 
     level: str
@@ -85,4 +85,4 @@
     fields: dict[str, Any] = field(default_factory=dict)
 
 
-Order = Send | Append | Rewrite | Fold | Committed | Jumped | Answered | Note
+Order = Send | Append | Rewrite | Compact | Committed | SnapshotInstalled | ProposalAnswered | LogEvent
--- a/rushweir/rollout/control.py
+++ b/rushweir/rollout/control.py
@@ -1,7 +1,7 @@
 """A control process: one of a small fixed set that agrees on the numbered steps of the settings. No I/O, no clock.
 
 It is Raft (Ongaro and Ousterhout 2014): election.py has terms and votes, control_peers.py what a leader sends,
-control_follow.py what the others take, log.py the entries, storage.py their form on disk. What is joined here: time,
+follower.py what the others take, log.py the entries, storage.py their form on disk. What is joined here: time,
 messages, what waits for the disk, proposals, and what is in force. Equal calls give equal orders.
 
 An entry is in force once a majority has it on disk and one of the leader's own term is behind it or is it (5.4.2). A
@@ -20,15 +20,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rushweir.rollout.control_fold import Folding
-from rushweir.rollout.control_follow import Follower
+from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.commands import Append, Committed, LogEvent, Objects, Order, Rewrite, Send, SnapshotInstalled
 from rushweir.rollout.control_messages import HANDLERS
 from rushweir.rollout.control_peers import Peer
 from rushweir.rollout.control_proposals import Proposals
 from rushweir.rollout.election import FOLLOWER, LEADER, NOBODY, Election
+from rushweir.rollout.follower import Follower
 from rushweir.rollout.log import BOUNDS, Base, Bounds, Log, apply, entry, size
-from rushweir.rollout.orders import Append, Committed, Jumped, Note, Objects, Order, Rewrite, Send
-from rushweir.rollout.steps import Change, Step
+from rushweir.rollout.log_compaction import LogCompaction
 from rushweir.rollout.storage import Kept
 
 MOST_HELD = 256  # messages that wait for the disk; beyond it the oldest goes, as when a stream is lost
@@ -87,7 +87,7 @@
         self.stale: set[int] = set()  # whose disk is an older copy, until it comes with another
         self.outdated = kept.old > 0  # its disk is an older copy
         self.election = Election(self, kept.term, kept.voted)
-        self.folding = Folding(self)
+        self.folding = LogCompaction(self)
         self.follower = Follower(self)
         self.proposals = Proposals(self)
         self.peers: dict[int, Peer] = {}  # of a leader
@@ -113,7 +113,7 @@
         self.now = now
         self.force(self.known, tell=False)
         if self.number:
-            self.orders.append(Jumped(self.number, dict(self.objects)))
+            self.orders.append(SnapshotInstalled(self.number, dict(self.objects)))
         self.election.wait()
         if self.count == 1:
             self.election.due = now
@@ -233,7 +233,7 @@
         self.orders.append(send)
 
     def note(self, level: str, cause: str, **fields: Any) -> None:
-        self.orders.append(Note(level, cause, fields))
+        self.orders.append(LogEvent(level, cause, fields))
 
     # --- the disk --------------------------------------------------------------------------------
 
@@ -281,7 +281,7 @@
                 self.follower.answer(self.leader)
 
     def folded(self, now: float, serial: int) -> None:
-        """The file that a ``Fold`` with this serial asked for is in place."""
+        """The file that a ``Compact`` with this serial asked for is in place."""
         self.now = now
         self.folding.done(serial)
 
@@ -363,7 +363,7 @@
     def propose(
         self, now: float, ticket: int, changes: tuple[Change, ...], author: str = "", base: int | None = None
     ) -> None:
-        """Make one step of these changes; one ``Answered`` with the ticket follows.
+        """Make one step of these changes; one ``ProposalAnswered`` with the ticket follows.
 
         ``base`` is the version on which whoever makes the change has seen the settings: where a later step changed
         one of the same objects it is refused with that object's name. None: whatever there is, is changed.
@@ -372,7 +372,7 @@
         self._look_at_quorum()
         self.proposals.propose(ticket, changes, author, base)
 
-    def since(self, number: int) -> list[Step] | None:
+    def since(self, number: int) -> list[ChangeSet] | None:
         """The steps in force after this one, in order; None where they are kept no more: the whole is needed."""
         return None if number < self.floor else self.log.steps(number, self.commit)
 
--- a/rushweir/rollout/control_mail.py
+++ b/rushweir/rollout/control_channel.py
@@ -26,20 +26,20 @@
 from rushweir.link import rpc
 
 VERSION = 1
-SEAL, NONCE = 16, 16
-MOST_TEXT = 8_388_608  # bytes of one message: a part or entries, and one more of the largest, in base64
+SEAL_BYTES, NONCE_BYTES = 16, 16
+MAX_MESSAGE_BYTES = 8_388_608  # bytes of one message: a part or entries, and one more of the largest, in base64
 NEW, READY, OPEN = "new", "ready", "open"
 
 
-class MailError(ValueError):
+class ChannelError(ValueError):
     """What came is not of a process that has the key, or not what was sent."""
 
 
-class Mail:
+class SealedChannel:
     """One end of one connection."""
 
     def __init__(self, me: int, count: int, key: bytes, nonce: bytes) -> None:
-        """``nonce``: NONCE bytes that no other connection had."""
+        """``nonce``: NONCE_BYTES bytes that no other connection had."""
         self.me, self.count, self.shared, self.nonce = me, count, key, nonce
         self.state, self.peer, self.key = NEW, -1, b""
         self.sent = self.received = 0
@@ -56,21 +56,21 @@
         return rpc.call("control.sealed", told)
 
     def read(self, text: bytes | str) -> list[Any] | None:
-        """A body; None: a part of the greeting, look at ``state``. Raises MailError."""
+        """A body; None: a part of the greeting, look at ``state``. Raises ChannelError."""
         try:
             return self.take(rpc.read(text, 1))
         except rpc.RpcError as problem:
-            raise MailError(f"no message: {problem}") from None
+            raise ChannelError(f"no message: {problem}") from None
 
     def take(self, call: rpc.Call | rpc.Reply | rpc.Batch) -> list[Any] | None:
         """The same of a message that was read."""
         if not isinstance(call, rpc.Call) or not isinstance(call.params, dict):
-            raise MailError("no message of a control process")
+            raise ChannelError("no message of a control process")
         if self.state is NEW and call.method == "control.hello":
             self._hello(call.params)
             return None
         if self.state is NEW or call.method != "control.sealed":
-            raise MailError(f"{call.method[:40]} has no place here")
+            raise ChannelError(f"{call.method[:40]} has no place here")
         body = self._open(call.params)
         if self.state is READY:
             self.state = OPEN
@@ -80,15 +80,15 @@
     def _hello(self, told: dict[str, Any]) -> None:
         peer, nonce = told.get("me"), told.get("nonce")
         if told.get("version") != VERSION or told.get("count") != self.count:
-            raise MailError(f"a control process of {told.get('count')!r:.20}, version {told.get('version')!r:.20}")
+            raise ChannelError(f"a control process of {told.get('count')!r:.20}, version {told.get('version')!r:.20}")
         if type(peer) is not int or not 0 <= peer < self.count or peer == self.me:
-            raise MailError(f"control process {peer!r:.20} speaks to {self.me} of {self.count}")
+            raise ChannelError(f"control process {peer!r:.20} speaks to {self.me} of {self.count}")
         try:
             theirs = bytes.fromhex(nonce) if isinstance(nonce, str) else b""
         except ValueError:
             theirs = b""
-        if len(theirs) != NONCE or theirs == self.nonce:
-            raise MailError("no nonce")
+        if len(theirs) != NONCE_BYTES or theirs == self.nonce:
+            raise ChannelError("no nonce")
         both = sorted([(self.me, self.nonce), (peer, theirs)])
         self.key = blake2b(both[0][1] + both[1][1], key=self.shared[:64], person=b"rushweir-control").digest()
         self.peer, self.state = peer, READY
@@ -97,18 +97,18 @@
         try:
             data, seal = b64decode(told["body"], validate=True), b64decode(told["seal"], validate=True)
         except (KeyError, ValueError, TypeError):
-            raise MailError("a message without body and seal") from None
+            raise ChannelError("a message without body and seal") from None
         if not compare_digest(seal, self._seal(self.peer, self.received, data)):
-            raise MailError("the seal does not fit: another key, or altered bytes")
+            raise ChannelError("the seal does not fit: another key, or altered bytes")
         self.received += 1
         try:
             body = msgpack.unpackb(data)
         except (ValueError, msgpack.UnpackException) as problem:
-            raise MailError(f"a body that can't be read: {problem}") from None
+            raise ChannelError(f"a body that can't be read: {problem}") from None
         if not isinstance(body, list):
-            raise MailError("a body that is no list")
+            raise ChannelError("a body that is no list")
         return body
 
     def _seal(self, sender: int, place: int, data: bytes) -> bytes:
         head = sender.to_bytes(4, "big") + place.to_bytes(8, "big")
-        return blake2b(head + data, digest_size=SEAL, key=self.key).digest()
+        return blake2b(head + data, digest_size=SEAL_BYTES, key=self.key).digest()
--- a/rushweir/rollout/control_proposals.py
+++ b/rushweir/rollout/control_proposals.py
@@ -11,10 +11,10 @@
 
 from typing import TYPE_CHECKING
 
+from rushweir.rollout.change_sets import Change, ChangeSet, ChangeSetError, pack, validate_changes
+from rushweir.rollout.commands import ProposalAnswered
 from rushweir.rollout.election import LEADER, NOBODY
 from rushweir.rollout.log import MOST_OBJECTS, MOST_WHOLE
-from rushweir.rollout.orders import Answered
-from rushweir.rollout.steps import Change, Step, StepError, checked, pack
 
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
@@ -33,10 +33,10 @@
         why = self._refusal(changes, author, base)
         if why:
             leader = c.leader if c.leader != c.me else NOBODY
-            c.orders.append(Answered(ticket, None, why, leader))
+            c.orders.append(ProposalAnswered(ticket, None, why, leader))
             return
         number = c.log.number + 1
-        data = pack(Step(number, changes, author))
+        data = pack(ChangeSet(number, changes, author))
         self.open[c.log.last + 1] = (ticket, number)
         c.add(data)
         if not c.peers:
@@ -59,8 +59,8 @@
         if len(author) > MOST_AUTHOR:
             return f"author: {MOST_AUTHOR} characters at most"
         try:
-            checked(changes)
-        except StepError as problem:
+            validate_changes(changes)
+        except ChangeSetError as problem:
             return str(problem)
         grown = sum(len(ch.data or b"") for ch in changes)
         if len(c.objects) + len(changes) > MOST_OBJECTS or c.bytes + grown > MOST_WHOLE:
@@ -80,7 +80,7 @@
                 if ch.key in mine:
                     name = " ".join(w for w in ch.key if w)
                     by = f" by {step.author}" if step.author else ""
-                    return f"{name}: changed by step {step.number}{by} since version {base}"
+                    return f"{name}: changed by step {step.version}{by} since version {base}"
         return ""
 
     def _open_bytes(self) -> int:
@@ -91,10 +91,10 @@
         c = self.control
         while self.open and (first := next(iter(self.open))) <= index:
             ticket, number = self.open.pop(first)
-            c.orders.append(Answered(ticket, number, "", c.me))
+            c.orders.append(ProposalAnswered(ticket, number, "", c.me))
 
     def left_open(self) -> None:
         for ticket, number in self.open.values():
             why = f"step {number} was not confirmed by a majority; it may come into force yet: look before you retry"
-            self.control.orders.append(Answered(ticket, None, why, NOBODY, unsure=True))
+            self.control.orders.append(ProposalAnswered(ticket, None, why, NOBODY, unsure=True))
         self.open.clear()
--- a/rushweir/rollout/control_follow.py
+++ b/rushweir/rollout/follower.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
+from rushweir.rollout.change_sets import MAX_NAME_CHARS, MAX_OBJECT_BYTES, ChangeSetError
+from rushweir.rollout.commands import Objects, SnapshotInstalled
 from rushweir.rollout.log import MOST_OBJECTS, MOST_WHOLE, Base, Entry, entry, size
-from rushweir.rollout.orders import Jumped, Objects
-from rushweir.rollout.steps import MOST_NAME, MOST_OBJECT, StepError
 
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
@@ -57,7 +57,7 @@
         self.answer(source)
 
     def _take_over(self, k: int, rows: list) -> None:
-        """These are the leader's from ``k`` on. Raises StepError or ValueError before anything is changed."""
+        """These are the leader's from ``k`` on. Raises ChangeSetError or ValueError before anything is changed."""
         c, log = self.control, self.control.log
         if k <= c.commit:
             raise ValueError(f"entry {k} is in force here, and another")  # no leader sends it
@@ -114,18 +114,23 @@
         new: Objects = {}
         for kind, name, version, data in rows:
             sound = isinstance(kind, str) and isinstance(name, str) and type(data) is bytes and type(version) is int
-            if not sound or len(data) > MOST_OBJECT or not 0 < len(kind) <= MOST_NAME or len(name) > MOST_NAME:
-                raise StepError("a part of the whole with what is no object")
+            if (
+                not sound
+                or len(data) > MAX_OBJECT_BYTES
+                or not 0 < len(kind) <= MAX_NAME_CHARS
+                or len(name) > MAX_NAME_CHARS
+            ):
+                raise ChangeSetError("a part of the whole with what is no object")
             new[kind, name] = (version, data)
             t.bytes += size((kind, name), data)
         t.objects |= new
         if t.bytes > MOST_WHOLE or len(t.objects) > MOST_OBJECTS:
             self.taking = None
-            raise StepError(f"a whole of more than {MOST_OBJECTS} objects or {MOST_WHOLE} bytes")
+            raise ChangeSetError(f"a whole of more than {MOST_OBJECTS} objects or {MOST_WHOLE} bytes")
 
     def _install(self, t: Taking) -> None:
         c = self.control
         self.taking = None
         c.replace(Base(t.index, t.term, t.number, t.objects))
         self.matched = max(self.matched, t.index)
-        c.orders.append(Jumped(t.number, dict(c.objects)))
+        c.orders.append(SnapshotInstalled(t.number, dict(c.objects)))
--- a/rushweir/rollout/log.py
+++ b/rushweir/rollout/log.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass, field
 
-from rushweir.rollout.orders import Objects
-from rushweir.rollout.steps import Step, StepError, pack, unpack
+from rushweir.rollout.change_sets import ChangeSet, ChangeSetError, pack, unpack
+from rushweir.rollout.commands import Objects
 
 MOST_OBJECTS, MOST_WHOLE = 100_000, 67_108_864  # objects of the whole, and bytes of them
 
@@ -38,7 +38,7 @@
     term: int
     number: int
     data: bytes = b""
-    step: Step | None = None
+    step: ChangeSet | None = None
 
 
 @dataclass(slots=True)
@@ -52,20 +52,20 @@
 
 
 def entry(term: int, before: int, data: bytes) -> Entry:
-    """An entry behind one whose newest step is ``before``. Raises StepError."""
+    """An entry behind one whose newest step is ``before``. Raises ChangeSetError."""
     if not data:
         return Entry(term, before)
     step = unpack(data)
-    if step.number != before + 1:
-        raise StepError(f"step {step.number} behind step {before}")
-    return Entry(term, step.number, data, step)
+    if step.version != before + 1:
+        raise ChangeSetError(f"step {step.version} behind step {before}")
+    return Entry(term, step.version, data, step)
 
 
-def entry_of(term: int, step: Step) -> Entry:
-    return Entry(term, step.number, pack(step), step)
+def entry_of(term: int, step: ChangeSet) -> Entry:
+    return Entry(term, step.version, pack(step), step)
 
 
-def apply(objects: Objects, step: Step) -> int:
+def apply(objects: Objects, step: ChangeSet) -> int:
     """Change objects by a step; by how many bytes they grew."""
     grown = 0
     for c in step.changes:
@@ -73,7 +73,7 @@
         if old is not None:
             grown -= size(c.key, old[1])
         if c.data is not None:
-            objects[c.key] = (step.number, c.data)
+            objects[c.key] = (step.version, c.data)
             grown += size(c.key, c.data)
     return grown
 
@@ -124,9 +124,9 @@
         self.bytes -= sum(len(e.data) for e in self.entries[k:])
         del self.entries[k:]
 
-    def steps(self, after: int, until: int) -> list[Step]:
+    def steps(self, after: int, until: int) -> list[ChangeSet]:
         """The steps with a number above ``after``, up to an index."""
-        found: list[Step] = []
+        found: list[ChangeSet] = []
         for e in reversed(self.entries[: max(0, until - self.base.index)]):
             if e.number <= after:
                 break
@@ -148,7 +148,7 @@
         return k
 
     def fold(self, applied: int, most: int | None = None) -> bool:
-        """Fold what is in force and beyond the bounds into the base; whether there was anything. ``most``: entries
+        """Compact what is in force and beyond the bounds into the base; whether there was anything. ``most``: entries
         with so many changes at once, and one entry more; the base is whole after each such slice."""
         beyond = self.beyond(applied)
         if beyond <= 0:
--- a/rushweir/rollout/control_fold.py
+++ b/rushweir/rollout/log_compaction.py
@@ -3,7 +3,7 @@
     from     event                                         to
     RESTING  the log is full, and some of it is in force   FOLDING  a slice, then one in each turn: many objects in
                                                                     one turn would hold it for long
-    FOLDING  nothing is left beyond the bounds             MAKING   ``Fold``: the file is made beside the loop
+    FOLDING  nothing is left beyond the bounds             MAKING   ``Compact``: the file is made beside the loop
     MAKING   the file is in place                          RESTING
     any      the whole came from the leader                MAKING   ``Rewrite``, which ends a fold on its way
     MAKING   the Rewrite is on disk                        RESTING
@@ -16,7 +16,7 @@
 
 from typing import TYPE_CHECKING
 
-from rushweir.rollout.orders import Fold
+from rushweir.rollout.commands import Compact
 
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
@@ -25,7 +25,7 @@
 SLICE = 256  # changes that are folded in one turn, and one entry more
 
 
-class Folding:
+class LogCompaction:
     def __init__(self, control: Control) -> None:
         self.control, self.state = control, RESTING
         self.serial = 0  # of the order that is being carried out
@@ -47,7 +47,7 @@
         c.log.fold(c.commit, SLICE)
         if c.log.beyond(c.commit) <= 0:
             self.state, self.serial, self.whole = MAKING, c.serial, False
-            c.orders.append(Fold(c.serial, c.whole()))
+            c.orders.append(Compact(c.serial, c.whole()))
 
     def done(self, serial: int) -> None:
         """A fold's file is in place."""
--- a/rushweir/rollout/sending.py
+++ b/rushweir/rollout/sending.py
@@ -27,6 +27,7 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.book import DIGEST, PARTS, Book, BookError, Row, entry, packed
+from rushweir.rollout.change_sets import ChangeSet, Key, pack
 from rushweir.rollout.sending_records import (
     ASKED,
     BEAT_MS,
@@ -53,7 +54,6 @@
     pieces,
 )  # fmt: skip
 from rushweir.rollout.sending_standing import EXPIRE_MS, Standing
-from rushweir.rollout.steps import Key, Step, pack
 
 
 class Sending:
@@ -81,13 +81,13 @@
 
     # --- what happens ----------------------------------------------------------------------------
 
-    def committed(self, now: float, step: Step) -> None:
+    def committed(self, now: float, step: ChangeSet) -> None:
         """The next step of the log. Raises BookError where it is not the next."""
         self._clock(now)
         self.book.take(step)
         digest = self.book.digest()
         message = self._step(step, digest)
-        self.recent[step.number] = Recent(message, digest, self.passed)
+        self.recent[step.version] = Recent(message, digest, self.passed)
         self.passed += len(message)
         self.recent_bytes += len(message)
         while len(self.recent) > MOST_RECENT or self.recent_bytes > MOST_RECENT_BYTES and len(self.recent) > 1:
@@ -368,7 +368,7 @@
         self.counts["bytes"] += len(message)
         self.orders.append(Send(s.conn, message))
 
-    def _step(self, step: Step, digest: bytes) -> bytes:
+    def _step(self, step: ChangeSet, digest: bytes) -> bytes:
         return mail.write("rollout.step", {"step": pack(step), "digest": digest}, self.key)
 
     def _waits(self, s: Session) -> bool:
--- a/rushweir/rollout/storage.py
+++ b/rushweir/rollout/storage.py
@@ -24,11 +24,11 @@
 import msgpack
 
 from rushweir.frames import FrameError, Frames
+from rushweir.rollout.change_sets import MAX_CHANGE_SET_BYTES, ChangeSetError
 from rushweir.rollout.log import BOUNDS, Base, Entry, entry
-from rushweir.rollout.steps import MOST_STEP, StepError
 
 VERSION = 1
-FRAMES = Frames(b"RWSTEPS" + bytes([VERSION]), 4 * MOST_STEP)
+FRAMES = Frames(b"RWSTEPS" + bytes([VERSION]), 4 * MAX_CHANGE_SET_BYTES)
 Records = Iterable[list[Any]]
 WRITTEN = 65_536  # bytes of a file that are made at once, and one record more
 
@@ -140,7 +140,7 @@
         try:
             kind, *rest = msgpack.unpackb(payload)
             reader.take(kept, kind, rest)
-        except (StepError, ValueError, TypeError, KeyError, msgpack.UnpackException) as problem:
+        except (ChangeSetError, ValueError, TypeError, KeyError, msgpack.UnpackException) as problem:
             raise StorageError(f"byte {begin}: {problem}") from None
         begin = end
     if not reader.whole:
--- a/rushweir/rollout/watch_mail.py
+++ b/rushweir/rollout/watch_mail.py
@@ -12,7 +12,7 @@
                                                    its newest version; the least that all act on; whether a majority
                                                    hears it; whether what is to come stands in a line; the nonce
                                                    until it is watched
-    rollout.step   {step, digest}                  one step as steps.py packs it, and the whole's digest after it
+    rollout.step   {step, digest}                  one step as change_sets.py packs it, the whole's digest after it
     rollout.mend   {base, version, piece, rows, marks, digest, more}
                                                    what differs from ``base``, in numbered pieces, the digest with
                                                    the last
--- a/rushweir/rollout/watching.py
+++ b/rushweir/rollout/watching.py
@@ -31,8 +31,8 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.book import DIGEST, BookError, sound
+from rushweir.rollout.change_sets import Change, ChangeSetError, Key
 from rushweir.rollout.kept import Append, Kept, Rewrite
-from rushweir.rollout.steps import Change, Key, StepError
 from rushweir.rollout.watching_ahead import Ahead, Delta, Frozen, of_marks
 from rushweir.rollout.watching_links import Connect, Disconnect, Links
 from rushweir.rollout.weighing import LARGE, Weighing, step_of
@@ -174,7 +174,7 @@
             elif method == "rollout.ask":
                 self._send("rollout.parts", self._state() | {"digests": self.ahead.digests()})
             self.bad = 0
-        except (mail.MailError, StepError, BookError) as problem:
+        except (mail.MailError, ChangeSetError, BookError) as problem:
             self._bad(conn, str(problem))
 
     def applied(self, now: float, version: int) -> None:
@@ -260,9 +260,9 @@
         weighed, self.weighed = self.weighed, None
         step, delta = (step_of(fields), None) if weighed is None else (weighed.step_read(), weighed.delta)
         digest = mail.octets(fields, "digest", DIGEST)
-        if step.number <= self.ahead.version:
+        if step.version <= self.ahead.version:
             self.counts["known"] += 1
-        elif step.number > self.ahead.version + 1:
+        elif step.version > self.ahead.version + 1:
             self.counts["ahead"] += 1
             self._ask_again()
         elif self.ahead.step(step, digest, delta):
--- a/rushweir/rollout/watching_ahead.py
+++ b/rushweir/rollout/watching_ahead.py
@@ -44,7 +44,7 @@
     whole_digest,
 )  # fmt: skip
 from rushweir.rollout.ceilings import ANYBODY
-from rushweir.rollout.steps import Change, Key, Step
+from rushweir.rollout.change_sets import Change, ChangeSet, Key
 
 MOST_PASSED, MOST_WAYS = 4_096, 8  # objects of which it is kept what they were in between, and how often of each
 Passed = dict[str, tuple[bytes, ...] | None]  # what objects were in between; None: anything
@@ -174,18 +174,18 @@
         other.book, other.rows = self.book.copy(), dict(self.rows)
         return other
 
-    def weigh(self, step: Step) -> Delta:
+    def weigh(self, step: ChangeSet) -> Delta:
         """The next step as it changes what is known."""
         delta = Delta(self)
-        delta.add_all((packed(c.key), None if c.data is None else entry(step.number, c.data)) for c in step.changes)
+        delta.add_all((packed(c.key), None if c.data is None else entry(step.version, c.data)) for c in step.changes)
         return delta
 
-    def step(self, step: Step, digest: bytes, delta: Delta | None = None) -> bool:
+    def step(self, step: ChangeSet, digest: bytes, delta: Delta | None = None) -> bool:
         """Whether the next step makes the digest told; else nothing is changed. ``delta``: as it was weighed before,
         if that was beside what is known now."""
         if delta is None or delta.beside != self.taken:
             delta = self.weigh(step)
-        return self.take(delta, step.number, digest)
+        return self.take(delta, step.version, digest)
 
     def take(self, delta: Delta, version: int, digest: bytes) -> bool:
         total = (self.total + sum(delta.sums.values())) & WRAP
--- a/rushweir/rollout/weighing.py
+++ b/rushweir/rollout/weighing.py
@@ -10,7 +10,7 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.book import BookError
-from rushweir.rollout.steps import Step, StepError, unpack
+from rushweir.rollout.change_sets import ChangeSet, ChangeSetError, unpack
 from rushweir.rollout.watching_ahead import Ahead, Delta
 
 LARGE = 16_384  # characters of a message: a step of some 200 partners, which takes 2 ms
@@ -20,7 +20,7 @@
     def __init__(self, text: bytes | str, key: bytes, view: Ahead) -> None:
         self.text, self.key, self.view = text, key, view
         self.found: tuple[str, dict[str, Any]] | mail.MailError = mail.MailError("not read")
-        self.step: Step | mail.MailError | StepError | BookError | None = None
+        self.step: ChangeSet | mail.MailError | ChangeSetError | BookError | None = None
         self.delta: Delta | None = None
 
     def run(self) -> None:
@@ -34,9 +34,9 @@
             return
         try:
             self.step = step_of(fields)
-            if self.step.number == self.view.version + 1:
+            if self.step.version == self.view.version + 1:
                 self.delta = self.view.weigh(self.step)
-        except (mail.MailError, StepError, BookError) as problem:
+        except (mail.MailError, ChangeSetError, BookError) as problem:
             self.step = problem
 
     def read(self) -> tuple[str, dict[str, Any]]:
@@ -45,13 +45,13 @@
             raise self.found
         return self.found
 
-    def step_read(self) -> Step:
-        """Raises MailError, StepError, BookError."""
-        if not isinstance(self.step, Step):
-            raise self.step or StepError("no step")
+    def step_read(self) -> ChangeSet:
+        """Raises MailError, ChangeSetError, BookError."""
+        if not isinstance(self.step, ChangeSet):
+            raise self.step or ChangeSetError("no step")
         return self.step
 
 
-def step_of(fields: dict[str, Any]) -> Step:
-    """Raises MailError, StepError."""
+def step_of(fields: dict[str, Any]) -> ChangeSet:
+    """Raises MailError, ChangeSetError."""
     return unpack(mail.octets(fields, "step", mail.MOST_BODY))
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -5,11 +5,11 @@
 import pytest
 
 from rushweir.rollout.book import Book
+from rushweir.rollout.change_sets import Change, ChangeSet, Key
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.steps import Change, Key, Step
 from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
 
@@ -85,7 +85,7 @@
     def commit(self, *changes: tuple[str, bytes | None], controls: tuple[str, ...] | None = None) -> int:
         """A step of partners, at all control processes or some."""
         number = max(s.book.version for s in self.controls.values()) + 1
-        step = Step(number, tuple(Change(("partner", name), data) for name, data in changes))
+        step = ChangeSet(number, tuple(Change(("partner", name), data) for name, data in changes))
         for name, sending in self.controls.items():
             if controls is None or name in controls:
                 sending.committed(self.now, step)
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -21,7 +21,7 @@
 from rushweir.ingress.commands import Kind
 from rushweir.ingress.core import Core
 from rushweir.rollout.ceilings import Between
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 from rushweir.watch.usage import Usage
 
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\npath /dispatch\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
--- a/tests/rollout/test_book.py
+++ b/tests/rollout/test_book.py
@@ -8,7 +8,7 @@
 
 from rushweir.rollout import book as b
 from rushweir.rollout.book import Book, BookError, entry, key_of, packed
-from rushweir.rollout.steps import Change, Step
+from rushweir.rollout.change_sets import Change, ChangeSet
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan", "p"]), st.text(max_size=3))
 CHANGES = st.lists(
@@ -20,7 +20,7 @@
 def made(log: list, upto: int | None = None) -> Book:
     book = Book()
     for number, changes in enumerate(log[:upto], 1):
-        book.take(Step(number, tuple(changes)))
+        book.take(ChangeSet(number, tuple(changes)))
     return book
 
 
@@ -88,7 +88,7 @@
     real = b.weight
     monkeypatch.setattr(b, "weight", lambda text, held: (weighed.append(text), real(text, held))[1])
     before = list(book.sums)
-    book.take(Step(2, (Change(("partner", "7"), b"y"),)))
+    book.take(ChangeSet(2, (Change(("partner", "7"), b"y"),)))
     assert weighed == [packed(("partner", "7"))] * 2  # the old and the new
     assert sum(s != t for s, t in zip(before, book.sums, strict=True)) == 1
 
@@ -97,7 +97,7 @@
     book = made([[Change(("plan", "a"), b"1")]])
     for number in (1, 3):
         with pytest.raises(BookError, match=f"step {number} does not follow on version 1"):
-            book.take(Step(number, (Change(("plan", "a"), b"2"),)))
+            book.take(ChangeSet(number, (Change(("plan", "a"), b"2"),)))
 
 
 def test_tombstones_are_bounded_and_below_their_floor_there_is_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -18,7 +18,7 @@
 from rushweir.ingress.core import Core
 from rushweir.rollout import ceilings
 from rushweir.rollout.ceilings import CLOSED, MOST_PLANS, Acting, Between, SlotError, Slots, among, arranged, share
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 COUNT, STEP_MS, MAIL_MS = 4, 20.0, 7.0
 BASE = "ingress {me} {count}\nzone a\nlisten 127.0.0.1:0\nlist {{\n    url ws://127.0.0.1:7000/l\n}}\n"
--- a/tests/rollout/test_ceilings_newcomer.py
+++ b/tests/rollout/test_ceilings_newcomer.py
@@ -18,8 +18,8 @@
 from rushweir.ingress.core import Core
 from rushweir.rollout.book import PARTS, Book
 from rushweir.rollout.ceilings import ANYBODY, CLOSED, MOST_BETWEEN, NOBODY, Between
+from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.steps import Change, Step
 from rushweir.rollout.watching_ahead import Ahead, Delta
 from tests.rollout.test_ceilings import BASE, World, over, partner, plan
 from tests.rollout.test_ceilings import COUNT as DOORS
@@ -75,7 +75,7 @@
 
 def play(events: list, folder: Path) -> tuple[list[float], list[Coming]]:
     """What all spend together after each event."""
-    truth, first = Book(), Step(1, tuple(FIRST))
+    truth, first = Book(), ChangeSet(1, tuple(FIRST))
     truth.take(first)
     log, digests, least, sums = [first], [truth.digest()], 1, []
     ingresses = [Coming(k, truth, folder / f"{k}.conf") for k in range(COUNT)]
@@ -84,7 +84,7 @@
             change = Change(("partner", "a"), None) if which is None else partner("a", "tin", *which)
             if which is None and truth.get(("partner", "a")) is None:
                 continue
-            log.append(Step(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
+            log.append(ChangeSet(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
             truth.take(log[-1])
             digests.append(truth.digest())
             continue
@@ -153,8 +153,8 @@
     assert between.customers == dict.fromkeys((ANYBODY, "a", "b"), (2, (NOBODY,))) and between.everywhere == 1
     assert Between.load(between.dump()) == between
     book = Book()
-    book.take(Step(1, (partner("old", "tin"),)))
-    book.take(Step(2, (partner("new", "tin"),)))
+    book.take(ChangeSet(1, (partner("old", "tin"),)))
+    book.take(ChangeSet(2, (partner("new", "tin"),)))
     ahead = Ahead(PackedBook())
     delta = Delta(ahead)
     delta.add_all(book.since(0) or ())
@@ -240,12 +240,12 @@
 
 def test_who_came_and_went_unnamed_counts_as_anybody(tmp_path) -> None:
     """Beyond the tombstones a difference names what is left, not what went: that may have come meanwhile too."""
-    truth, first = Book(), Step(1, tuple(FIRST))
+    truth, first = Book(), ChangeSet(1, tuple(FIRST))
     truth.take(first)
     both = [Coming(0, truth, tmp_path / "own.conf") for _ in range(2)]
-    truth.take(Step(2, (partner("new", "tin", 1, 1),)))
-    truth.take(Step(3, (Change(("partner", "new"), None),)))
-    truth.take(Step(4, (Change(("partner", "b"), None),)))
+    truth.take(ChangeSet(2, (partner("new", "tin", 1, 1),)))
+    truth.take(ChangeSet(3, (Change(("partner", "new"), None),)))
+    truth.take(ChangeSet(4, (Change(("partner", "b"), None),)))
     for named, x in zip((False, True), both, strict=True):
         delta = Delta(x.ahead)
         if named:
--- a/tests/rollout/test_ceilings_skipped.py
+++ b/tests/rollout/test_ceilings_skipped.py
@@ -12,8 +12,8 @@
 from rushweir.rollout import watching_ahead
 from rushweir.rollout.book import Book, entry, packed
 from rushweir.rollout.ceilings import CLOSED, NOBODY, Between, among, share
+from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.steps import Change, Step
 from rushweir.rollout.watching_ahead import Ahead, Delta
 from tests.rollout.test_ceilings import BASE, World, block, over, partner, plan
 
@@ -32,7 +32,7 @@
         book.put([row for part in truth.parts for row in part.items()], truth.version)
         self.ahead = Ahead(book)
 
-    def step(self, log: list[Step], digests: list[bytes]) -> None:
+    def step(self, log: list[ChangeSet], digests: list[bytes]) -> None:
         if self.ahead.version < len(log):
             assert self.ahead.step(log[self.ahead.version], digests[self.ahead.version])
 
@@ -91,8 +91,8 @@
 def play(events: list) -> list[float]:
     """What all spend together after each event."""
     truth = Book()
-    truth.take(Step(1, tuple(FIRST)))
-    log, digests = [Step(1, tuple(FIRST))], [truth.digest()]
+    truth.take(ChangeSet(1, tuple(FIRST)))
+    log, digests = [ChangeSet(1, tuple(FIRST))], [truth.digest()]
     ingresses = [Ingress(k, truth) for k in range(COUNT)]
     sums = []
     for what, which in events:
@@ -101,7 +101,7 @@
             if which is None and truth.get(("partner", "a")) is None:
                 continue
             # A second object, so that each version differs.
-            log.append(Step(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
+            log.append(ChangeSet(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
             truth.take(log[-1])
             digests.append(truth.digest())
             continue
@@ -200,8 +200,8 @@
     names = ("p", "q", "r")
     for n in range(1, 7):
         changes = tuple(Change(("partner", name), b"%d" % n) for name in (names if n < 3 else names[:1]))
-        truth.take(Step(n, changes))
-        assert ahead.step(Step(n, changes), truth.digest())
+        truth.take(ChangeSet(n, changes))
+        assert ahead.step(ChangeSet(n, changes), truth.digest())
         frozen = watching_ahead.Frozen(ahead, ahead.rows)
         assert len(frozen.passed) <= 3
     assert frozen.passed == {("partner", "p"): None, ("partner", "q"): (b"1",), ("partner", "r"): None}
--- a/tests/rollout/test_control_core.py
+++ b/tests/rollout/test_control_core.py
@@ -7,13 +7,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change
+from rushweir.rollout.commands import (
+    Append,
+    Committed,
+    Compact,
+    LogEvent,
+    ProposalAnswered,
+    Rewrite,
+    Send,
+    SnapshotInstalled,
+)
 from rushweir.rollout.control import MOST_HELD, Control
-from rushweir.rollout.control_mail import NONCE, OPEN, Mail, MailError
+from rushweir.rollout.control_channel import NONCE_BYTES, OPEN, ChannelError, SealedChannel
 from rushweir.rollout.control_proposals import MOST_OPEN
 from rushweir.rollout.election import LEADER
 from rushweir.rollout.log import Bounds
-from rushweir.rollout.orders import Answered, Append, Committed, Fold, Jumped, Note, Rewrite, Send
-from rushweir.rollout.steps import MOST_OBJECT, Change
 from rushweir.rollout.storage import Kept, pack, read, whole
 
 TICK_MS = 50.0
@@ -55,7 +64,7 @@
                 self.waiting.append((k, order.serial))
             else:
                 c.kept(self.now, order.serial)
-        elif isinstance(order, Fold):
+        elif isinstance(order, Compact):
             self.disks[k] = whole(order.records)
             c.folded(self.now, order.serial)
         else:
@@ -76,7 +85,7 @@
     def propose(self, c: Control, ticket: int, *names: str, base: int | None = None, data: bytes | None = b"x"):
         c.propose(self.now, ticket, tuple(Change(("partner", n), data) for n in names), "me", base)
         self.settle()
-        return next((o for _, o in self.seen if isinstance(o, Answered) and o.ticket == ticket), None)
+        return next((o for _, o in self.seen if isinstance(o, ProposalAnswered) and o.ticket == ticket), None)
 
 
 @pytest.fixture
@@ -92,8 +101,8 @@
     assert {x.number for x in three.all} == {3} and len({x.leader for x in three.all}) == 1
     for x in three.all:
         assert x.objects == {("partner", "a"): (3, b"x")}
-        assert [s.number for s in x.since(1)] == [2, 3] and x.since(0) and x.since(3) == []
-        told = [o.step.number for k, o in three.seen if k == x.me and isinstance(o, Committed)]
+        assert [s.version for s in x.since(1)] == [2, 3] and x.since(0) and x.since(3) == []
+        told = [o.step.version for k, o in three.seen if k == x.me and isinstance(o, Committed)]
         assert told == [1, 2, 3]
 
 
@@ -102,7 +111,7 @@
     three.propose(c, 1, "a", "b")
     for ticket, names, more, says in (
         (2, (), {}, "changes 1 to"), (3, ("a", "a"), {}, "partner a: changed twice"),
-        (4, ("a",), {"data": bytes(MOST_OBJECT + 1)}, "partner a: more than"),
+        (4, ("a",), {"data": bytes(MAX_OBJECT_BYTES + 1)}, "partner a: more than"),
         (5, ("x", "b"), {"base": 0}, "partner b: changed by step 1 by me since version 0"),
         (6, ("x",), {"base": 7}, "version 7 is not known here"),
     ):  # fmt: skip
@@ -122,7 +131,7 @@
     assert "partner a: changed by step 1" in three.propose(c, 2, "a", base=0).why
     three.away.clear()
     three.run(600.0)
-    assert next(o.number for _, o in three.seen if isinstance(o, Answered) and o.ticket == 1) == 1
+    assert next(o.number for _, o in three.seen if isinstance(o, ProposalAnswered) and o.ticket == 1) == 1
 
 
 def test_a_base_older_than_the_log_is_refused():
@@ -143,7 +152,7 @@
         assert three.propose(c, n, f"p{n}") is None
     assert "256 changes wait already" in three.propose(c, 999, "x").why
     three.run(2_000.0)
-    answers = [o for _, o in three.seen if isinstance(o, Answered)]
+    answers = [o for _, o in three.seen if isinstance(o, ProposalAnswered)]
     assert sum(o.unsure for o in answers) == MOST_OPEN and not any(o.number for o in answers)
     assert "no majority" in three.propose(c, 1_000, "x").why and not c.status(three.now)["majority"]
 
@@ -197,7 +206,7 @@
     before = list(x.log.entries)
     x.message(three.now, c.me, ["append", c.term, c.told_position, 0, 0, 9, [[5, b""]], [0, 0, 0], three.now])
     assert x.log.entries == before and x.counts["bad_messages"] == 1
-    assert any(isinstance(o, Note) and "is in force here" in o.fields["why"] for o in x.orders)
+    assert any(isinstance(o, LogEvent) and "is in force here" in o.fields["why"] for o in x.orders)
 
 
 def test_a_start_tells_what_is_known_as_a_whole(three):
@@ -208,7 +217,7 @@
     again = Control(c.me, 3, read(three.disks[c.me], c.me, 3), 9, 0.0)
     again.start(0.0)
     (told,) = again.orders
-    assert isinstance(told, Jumped) and told.number == 2 and told.objects == again.objects
+    assert isinstance(told, SnapshotInstalled) and told.number == 2 and told.objects == again.objects
     assert again.election.role is not LEADER
 
 
@@ -217,8 +226,8 @@
 KEY = b"k" * 32
 
 
-def pair(key=KEY, nonces=(b"a" * NONCE, b"b" * NONCE)):
-    one, two = Mail(0, 3, KEY, nonces[0]), Mail(2, 3, key, nonces[1])
+def pair(key=KEY, nonces=(b"a" * NONCE_BYTES, b"b" * NONCE_BYTES)):
+    one, two = SealedChannel(0, 3, KEY, nonces[0]), SealedChannel(2, 3, key, nonces[1])
     assert two.read(one.hello()) is None and one.read(two.hello()) is None
     return one, two
 
@@ -239,7 +248,7 @@
 
 def test_another_key_is_refused():
     one, two = pair(key=b"j" * 32)
-    with pytest.raises(MailError, match="another key"):
+    with pytest.raises(ChannelError, match="another key"):
         two.read(one.write([]))
 
 
@@ -250,19 +259,19 @@
         spoilt = text[:k] + bytes([text[k] ^ 1]) + text[k + 1 :]
         try:
             assert two.read(spoilt) == ["x", b"data"]  # a bit that base64 leaves out, or of a key that is not read
-        except MailError:
+        except ChannelError:
             continue
     one, two = greeted()
     text = one.write(["x"])
     assert two.read(text) == ["x"]
-    with pytest.raises(MailError):
+    with pytest.raises(ChannelError):
         two.read(text)
     one, two = greeted()
     one.write(["lost"])
-    with pytest.raises(MailError):
+    with pytest.raises(ChannelError):
         two.read(one.write(["next"]))
     one, two = greeted()
-    with pytest.raises(MailError):
+    with pytest.raises(ChannelError):
         one.read(one.write(["back to who sent it"]))
 
 
@@ -270,9 +279,9 @@
     one, two = pair()
     told = [one.write([]), one.write(["vote"])]
     assert two.read(told[0]) is None and two.read(told[1]) == ["vote"]
-    later = Mail(2, 3, KEY, b"c" * NONCE)
+    later = SealedChannel(2, 3, KEY, b"c" * NONCE_BYTES)
     assert later.read(one.hello()) is None
-    with pytest.raises(MailError):
+    with pytest.raises(ChannelError):
         later.read(told[0])
 
 
@@ -280,13 +289,13 @@
     "hello",
     [
         {"me": 2}, {"me": 3}, {"me": -1}, {"me": True}, {"me": "0"}, {"count": 5}, {"version": 2}, {"nonce": "ab"},
-        {"nonce": "zz" * NONCE}, {"nonce": None}, {"nonce": (b"b" * NONCE).hex()},
+        {"nonce": "zz" * NONCE_BYTES}, {"nonce": None}, {"nonce": (b"b" * NONCE_BYTES).hex()},
     ],
 )  # fmt: skip
 def test_a_greeting_of_another_kind_is_refused(hello):
     from rushweir.link import rpc
 
-    two = Mail(2, 3, KEY, b"b" * NONCE)
-    good = {"me": 0, "count": 3, "nonce": (b"a" * NONCE).hex(), "version": 1}
-    with pytest.raises(MailError):
+    two = SealedChannel(2, 3, KEY, b"b" * NONCE_BYTES)
+    good = {"me": 0, "count": 3, "nonce": (b"a" * NONCE_BYTES).hex(), "version": 1}
+    with pytest.raises(ChannelError):
         two.read(rpc.call("control.hello", good | hello))
--- a/tests/rollout/test_control_days.py
+++ b/tests/rollout/test_control_days.py
@@ -7,7 +7,7 @@
 from rushweir.lab.sim.control_days import SIZE, Day, Size, check, draw, shortest
 from rushweir.lab.sim.control_plants import KINDS, planted
 from rushweir.lab.sim.fleets import Broken
-from rushweir.rollout.orders import Answered, Committed, Jumped
+from rushweir.rollout.commands import Committed, ProposalAnswered, SnapshotInstalled
 
 WITHIN = 25  # days in which each planted fault has to be found
 HOUR_MS = 3_600_000.0
@@ -31,9 +31,9 @@
         day = Day(seed)
 
         def watch(_, order):
-            if isinstance(order, Answered):
+            if isinstance(order, ProposalAnswered):
                 seen["confirmed" if order.number else "unsure" if order.unsure else "refused"] += 1
-            seen["jumped"] += isinstance(order, Jumped)
+            seen["jumped"] += isinstance(order, SnapshotInstalled)
 
         day.world.watchers.append(watch)
         day.play()
--- a/tests/rollout/test_control_files.py
+++ b/tests/rollout/test_control_files.py
@@ -9,9 +9,9 @@
 import pytest
 
 from rushweir.daemon.control_files import HALF_MADE, NAME, ControlFiles, Place
+from rushweir.rollout.change_sets import Change, ChangeSet, pack
+from rushweir.rollout.commands import Append, Compact, Rewrite
 from rushweir.rollout.log import Base, entry_of
-from rushweir.rollout.orders import Append, Fold, Rewrite
-from rushweir.rollout.steps import Change, Step, pack
 from rushweir.rollout.storage import Kept, read, whole
 
 OBJECTS = {("partner", f"p{n}"): (1, bytes(60)) for n in range(2_000)}
@@ -47,8 +47,8 @@
         return call
 
 
-def step(n: int) -> Step:
-    return Step(n, (Change(("partner", f"p{n}"), f"{n}".encode()),), "me")
+def step(n: int) -> ChangeSet:
+    return ChangeSet(n, (Change(("partner", f"p{n}"), f"{n}".encode()),), "me")
 
 
 def write(serial: int) -> Append:
@@ -56,11 +56,11 @@
     return Append(serial, (["entry", serial, 9, pack(step(serial))], ["at", serial]))
 
 
-def fold(after: int, base: int) -> Fold:
+def fold(after: int, base: int) -> Compact:
     """All up to ``after``, the first ``base`` of it folded."""
     objects = OBJECTS | {("partner", f"p{n}"): (n, f"{n}".encode()) for n in range(1, base + 1)}
     entries = [entry_of(9, step(n)) for n in range(base + 1, after + 1)]
-    return Fold(after, Kept(0, 1, 9, 0, after, base, base=Base(base, 9, base, objects), entries=entries))
+    return Compact(after, Kept(0, 1, 9, 0, after, base, base=Base(base, 9, base, objects), entries=entries))
 
 
 def play(folder, confirmed: list[int]) -> None:
--- a/tests/rollout/test_control_fold.py
+++ b/tests/rollout/test_control_fold.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.commands import Append, Compact
 from rushweir.rollout.control import Control
-from rushweir.rollout.control_fold import FOLDING, MAKING, RESTING, SLICE
 from rushweir.rollout.log import Bounds, entry_of
-from rushweir.rollout.orders import Append, Fold
-from rushweir.rollout.steps import Change, Step
+from rushweir.rollout.log_compaction import FOLDING, MAKING, RESTING, SLICE
 from rushweir.rollout.storage import Kept, read, whole
 
 BOUNDS = Bounds(entries=600)
@@ -29,7 +29,7 @@
             order = self.core.orders.popleft()
             if isinstance(order, Append):
                 self.turn(self.core.kept, 0.0, order.serial)
-            elif isinstance(order, Fold):
+            elif isinstance(order, Compact):
                 self.folds.append(order)
 
     def change(self, times: int) -> None:
@@ -75,7 +75,7 @@
 
 def test_one_with_an_older_disk_folds_nothing():
     """Its file says that it is old; one made anew would not."""
-    steps = [Step(n, (Change(("plan", f"{n}"), b"x"),), "me") for n in range(1, 2 * BOUNDS.entries + 9)]
+    steps = [ChangeSet(n, (Change(("plan", f"{n}"), b"x"),), "me") for n in range(1, 2 * BOUNDS.entries + 9)]
     entries = [entry_of(8, step) for step in steps]
     for old in (0, 99):
         one = One(Kept(0, 1, 8, 0, 9, len(entries), old=old, entries=list(entries)))
--- a/tests/rollout/test_control_fold_processes.py
+++ b/tests/rollout/test_control_fold_processes.py
@@ -8,18 +8,18 @@
 
 from rushweir.daemon.control_files import HALF_MADE
 from rushweir.rollout import storage
+from rushweir.rollout.change_sets import MAX_OBJECT_BYTES
 from rushweir.rollout.log import BOUNDS, Base, apply
-from rushweir.rollout.steps import MOST_OBJECT
 from tests.rollout.control_stage import Stage
 
 ALL = (0, 1, 2)
 NAMES = 14  # objects of a step, all of the largest size
-FULL = 2 * BOUNDS.bytes // (NAMES * MOST_OBJECT) + 2  # steps that make a log full
+FULL = 2 * BOUNDS.bytes // (NAMES * MAX_OBJECT_BYTES) + 2  # steps that make a log full
 
 
 async def change(s: Stage, k: int) -> int | None:
     """One step, asked of this process; None where none confirms it."""
-    rows = [["partner", f"p{n}", b64encode(os.urandom(MOST_OBJECT)).decode()] for n in range(NAMES)]
+    rows = [["partner", f"p{n}", b64encode(os.urandom(MAX_OBJECT_BYTES)).decode()] for n in range(NAMES)]
     try:
         return (await s.ask(k, "propose", changes=rows, author="me"))["number"]
     except (AssertionError, OSError):  # it was killed
--- a/tests/rollout/test_control_watch.py
+++ b/tests/rollout/test_control_watch.py
@@ -16,7 +16,7 @@
 from rushweir.daemon.control_process import ControlProcess
 from rushweir.ingress.shell import Clock
 from rushweir.lab.ports import free_port
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 
 class Stub:
@@ -34,9 +34,9 @@
         self._note("jumped", number, objects)
 
     def committed(self, now, step):
-        self._note("committed", step.number)
-        self.orders.extend(SimpleNamespace(conn=c, data=b"%d" % step.number) for c in self.conns)
-        self.orders.append(SimpleNamespace(told={"at": step.number}))
+        self._note("committed", step.version)
+        self.orders.extend(SimpleNamespace(conn=c, data=b"%d" % step.version) for c in self.conns)
+        self.orders.append(SimpleNamespace(told={"at": step.version}))
 
     def set_current(self, now, current):
         self.current = current
--- a/tests/rollout/test_log_storage.py
+++ b/tests/rollout/test_log_storage.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from rushweir.rollout import storage
+from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.log import Base, Bounds, Log, entry_of
-from rushweir.rollout.steps import Change, Step, pack
 from rushweir.rollout.storage import Kept, StorageError, read
 
 
-def step(n: int, size: int = 3) -> Step:
-    return Step(n, (Change(("partner", f"p{n % 4}"), bytes(size)),), "me")
+def step(n: int, size: int = 3) -> ChangeSet:
+    return ChangeSet(n, (Change(("partner", f"p{n % 4}"), bytes(size)),), "me")
 
 
 HEAD = Kept(1, 3, term=9, voted=1, committed=4, base=Base(4, 1, 3, {("plan", "a"): (3, b"x")}))
@@ -106,7 +106,7 @@
         if log.full():
             assert log.fold(log.last - 1)  # the last is not in force
         assert len(log.entries) <= 16
-        assert [s.number for s in log.steps(n - 3, n - 1)] == list(range(max(1, n - 2), n))
+        assert [s.version for s in log.steps(n - 3, n - 1)] == list(range(max(1, n - 2), n))
     assert log.number == 199 and log.base.number >= 180 and set(log.base.objects) == {
         ("partner", f"p{k}") for k in range(4)}  # fmt: skip
     big = Log(Base(), [], Bounds(entries=8, bytes=1_000))
--- a/tests/rollout/test_objects.py
+++ b/tests/rollout/test_objects.py
@@ -19,7 +19,7 @@
 from rushweir.config.text import Problem, Spot, parse
 from rushweir.costs.decisions import CostRules
 from rushweir.fronts.credentials import digest
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
 HEAD += 'class c {\n    aim 1s\n    deadline 2s\n}\nplan gold {\n    rate 5/s\n    burst 9\n}\nplan "tin foil" {\n}\n'
--- a/tests/rollout/test_packed.py
+++ b/tests/rollout/test_packed.py
@@ -17,9 +17,9 @@
 from rushweir.rollout import kept as k
 from rushweir.rollout import packed as p
 from rushweir.rollout.book import Book, entry, packed, part_of
+from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.steps import Change, Step
 from rushweir.rollout.watching import FOLD_MS, Watching
 from tests.rollout.test_book import parted
 
@@ -65,7 +65,7 @@
     try:
         plain, small = Book(), PackedBook()
         for number, (changes, then) in enumerate(log, 1):
-            step = Step(number, tuple(changes))
+            step = ChangeSet(number, tuple(changes))
             plain.take(step)
             if then == "merge":
                 rows = plain.since(small.version)
@@ -100,7 +100,7 @@
         pass
     other = book.copy()
     before = all_of(other)
-    book.take(Step(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
+    book.take(ChangeSet(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
     assert all_of(other) == before != all_of(book)
 
 
--- a/tests/rollout/test_rollout_settings.py
+++ b/tests/rollout/test_rollout_settings.py
@@ -8,7 +8,7 @@
 
 from rushweir.config import ConfigError, live, load_text, rollout
 from rushweir.daemon.decisions import needs_restart
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 OWN = """\
 ingress 0 1
--- a/tests/rollout/test_sending.py
+++ b/tests/rollout/test_sending.py
@@ -9,9 +9,9 @@
 from rushweir.rollout import book as b
 from rushweir.rollout import sending, sending_records
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, ChangeSet
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.sending_records import Rates
-from rushweir.rollout.steps import MOST_OBJECT, Change, Step
 from tests.rollout.conftest import KEY, Scene
 
 
@@ -287,7 +287,7 @@
 def test_steps_have_to_follow_on(scene: Scene) -> None:
     c = scene.control("c")
     with pytest.raises(b.BookError):
-        c.committed(scene.now, Step(2, (Change(("plan", "a"), b"1"),)))
+        c.committed(scene.now, ChangeSet(2, (Change(("plan", "a"), b"1"),)))
 
 
 def test_one_that_took_the_whole_log_at_once_sends_on_from_there(scene: Scene) -> None:
@@ -310,7 +310,9 @@
     i, other = scene.ingress("i"), scene.ingress("other")
     scene.run(500)
     rng = random.Random(4)
-    number = scene.commit(*((f"p{n}", rng.randbytes(MOST_OBJECT)) for n in range(15)), ("p15", rng.randbytes(65_000)))
+    number = scene.commit(
+        *((f"p{n}", rng.randbytes(MAX_OBJECT_BYTES)) for n in range(15)), ("p15", rng.randbytes(65_000))
+    )
     after = scene.commit(("p1", b"small"))
     scene.run(2_000)
     assert (number, i.core.version, other.core.version) == (1, after, after)
--- a/tests/rollout/test_watching.py
+++ b/tests/rollout/test_watching.py
@@ -7,9 +7,9 @@
 import pytest
 
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept, Rewrite
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.steps import Change, Step, pack
 from rushweir.rollout.watching import Apply, Keep, Watching
 from tests.rollout.conftest import KEY, Ingress, Scene, whom
 
@@ -18,7 +18,7 @@
     """Messages with steps, as a control process sends them."""
     c = scene.control("other")
     for n in range(count):
-        c.committed(scene.now, Step(n + 1, (Change(("partner", f"p{n}"), b"%d" % n),)))
+        c.committed(scene.now, ChangeSet(n + 1, (Change(("partner", f"p{n}"), b"%d" % n),)))
     return [r.message for r in c.recent.values()]
 
 
@@ -93,7 +93,7 @@
 
 def test_a_step_whose_digest_does_not_fit_is_not_taken(scene: Scene) -> None:
     i = opened(scene)
-    step = Step(1, (Change(("partner", "a"), b"1"),))
+    step = ChangeSet(1, (Change(("partner", "a"), b"1"),))
     i.core.received(scene.now, 1, mail.write("rollout.step", {"step": pack(step), "digest": b"x" * 16}, KEY))
     i.carry_out()
     assert (i.core.version, i.core.ahead.version, i.core.counts["digest_wrong"]) == (0, 0, 1)
@@ -291,11 +291,11 @@
         scene.commit(("a", b"%d" % n))
     i = scene.ingress(kept=Kept(scene.controls["c"].book.copy()))
     old = scene.control("c")
-    old.committed(scene.now, Step(1, (Change(("partner", "a"), b"0"),)))
+    old.committed(scene.now, ChangeSet(1, (Change(("partner", "a"), b"0"),)))
     scene.run(20_000)
     assert (i.core.version, i.applies) == (5, [])
     for n in range(1, 5):
-        old.committed(scene.now, Step(n + 1, (Change(("partner", "a"), b"%d" % n),)))
+        old.committed(scene.now, ChangeSet(n + 1, (Change(("partner", "a"), b"%d" % n),)))
     scene.commit(("a", b"later"))
     scene.run(2_000)
     assert i.core.version == 6
--- a/tests/rollout/test_weighing.py
+++ b/tests/rollout/test_weighing.py
@@ -17,9 +17,9 @@
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout import watching_ahead as ahead_module
 from rushweir.rollout.book import Book, entry, packed
+from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.steps import Change, Step, pack
 from rushweir.rollout.watching import Apply, Watching
 from rushweir.rollout.watching_ahead import Ahead
 from rushweir.rollout.weighing import LARGE, Weighing
@@ -60,7 +60,7 @@
                 book.fold()
 
         for number, (changes, then, after) in enumerate(log, 1):
-            step = Step(number, tuple(changes))
+            step = ChangeSet(number, tuple(changes))
             view = ahead.view()
             act(then)
             delta = view.weigh(step)
@@ -73,13 +73,13 @@
         p.LOOSE = before
 
 
-def step_mail(step: Step, digest: bytes) -> bytes:
+def step_mail(step: ChangeSet, digest: bytes) -> bytes:
     return mail.write("rollout.step", {"step": pack(step), "digest": digest}, KEY)
 
 
-def large(number: int, count: int = 400) -> Step:
+def large(number: int, count: int = 400) -> ChangeSet:
     data = (sha256(b"%d %d" % (number, n)).hexdigest().encode() for n in range(count))
-    return Step(number, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
+    return ChangeSet(number, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
 
 
 def watching() -> tuple[Watching, int, Book]:
@@ -115,7 +115,7 @@
     weighed: list[int] = []
     real = ahead_module.Ahead.weigh
     monkeypatch.setattr(
-        ahead_module.Ahead, "weigh", lambda ahead, step: (weighed.append(step.number), real(ahead, step))[1]
+        ahead_module.Ahead, "weigh", lambda ahead, step: (weighed.append(step.version), real(ahead, step))[1]
     )
     texts = []
     for step in (first, second):
@@ -143,7 +143,7 @@
     truth.put([(packed(("plan", "a")), entry(1, b"right"))], 1)
     book.put([(packed(("plan", "a")), entry(1, b"altered"))], 1)
     ahead = Ahead(book)
-    step = Step(2, (Change(("plan", "a"), b"new"),))
+    step = ChangeSet(2, (Change(("plan", "a"), b"new"),))
     delta = ahead.view().weigh(step)
     mend = ahead_module.Delta(ahead)
     mend.add(packed(("plan", "a")), entry(1, b"right"))
