--- a/rushweir/cli/change.py
+++ b/rushweir/cli/change.py
@@ -74,7 +74,7 @@
             click.echo(str(problem), err=True)
             return 1
         if files.torn:
-            lines.event("warning", "torn_end_cut", path=str(files.path), at=files.kept.good, bytes=files.torn)
+            lines.event("warning", "torn_end_cut", path=str(files.path), at=files.kept.valid_bytes, bytes=files.torn)
         sessions = None
         if config.watch_key is not None:
             sessions = Sending(clock(), Book(), config.watch_key, seed=secrets.randbits(63), first=new)
--- a/rushweir/daemon/control_files.py
+++ b/rushweir/daemon/control_files.py
@@ -17,7 +17,7 @@
 from rushweir.files import replace_file
 from rushweir.rollout import storage
 from rushweir.rollout.commands import Append, Compact, Rewrite
-from rushweir.rollout.storage import Kept, StorageError
+from rushweir.rollout.storage import PersistentState, StorageError
 
 NAME, HALF_MADE = "steps.log", "steps.log.fold"
 COPIED = 1_048_576  # bytes at a time
@@ -53,25 +53,25 @@
             self.lock.close()
             raise
 
-    def _open(self, me: int, count: int, new: bool) -> Kept:
+    def _open(self, me: int, count: int, new: bool) -> PersistentState:
         if not self.path.exists():
             if not new:
                 raise StorageError(
                     f"{self.path}: is not there. A control process without it has forgotten what it voted for and "
                     "what it confirmed, and must not go on; --new is for the first start of all of them"
                 )
-            replace_file(self.path, storage.whole(Kept(me, count).records()), 0o600)
+            replace_file(self.path, storage.encode_file(PersistentState(me, count).records()), 0o600)
         self.half.unlink(missing_ok=True)
         data = self.path.read_bytes()
         try:
-            kept = storage.read(data, me, count)
+            kept = storage.decode_file(data, me, count)
         except StorageError as problem:
             raise StorageError(f"{self.path}: {problem}") from None
         self.fd = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-        if kept.good < len(data):  # a write that a kill interrupted: what is behind it would be unreadable
-            os.ftruncate(self.fd, kept.good)
+        if kept.valid_bytes < len(data):  # a write that a kill interrupted: what is behind it would be unreadable
+            os.ftruncate(self.fd, kept.valid_bytes)
             os.fsync(self.fd)
-        self.torn, self.size = len(data) - kept.good, kept.good
+        self.torn, self.size = len(data) - kept.valid_bytes, kept.valid_bytes
         return kept
 
     def _rebuild(self, me: int, count: int, copies: tuple[Path, ...]) -> None:
@@ -82,13 +82,13 @@
             data, why = path.read_bytes(), ""
             for k in range(count):
                 try:
-                    others.append(storage.read(data, k, count))
+                    others.append(storage.decode_file(data, k, count))
                     break
                 except StorageError as problem:
                     why = str(problem)
             else:
                 raise StorageError(f"{path}: {why}")
-        replace_file(self.path, storage.whole(storage.rebuilt(me, count, others).records()), 0o600)
+        replace_file(self.path, storage.encode_file(storage.rebuild_state(me, count, others).records()), 0o600)
 
     def carry(self, orders: list[Write]) -> tuple[int, int]:
         """Carry out in order, so that all outlives a crash; the serial of the last write, and that of a fold whose
@@ -98,7 +98,7 @@
         for order in orders:
             match order:
                 case Append():
-                    self.size += _write(self.fd, storage.pack(order.records))
+                    self.size += _write(self.fd, storage.pack_records(order.records))
                     last = order.serial
                 case Rewrite():
                     self._rewrite(order)
@@ -114,7 +114,7 @@
         return last, placed
 
     def _rewrite(self, order: Rewrite) -> None:
-        data = storage.whole(order.records)
+        data = storage.encode_file(order.records)
         replace_file(self.path, data, 0o600)
         os.close(self.fd)
         self.fd = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
@@ -127,7 +127,7 @@
         if self.half_fd >= 0:  # a Rewrite ended the one before
             os.close(self.half_fd)
         self.half_fd = os.open(self.half, flags, 0o600)
-        for piece in storage.whole_in_pieces(fold.records):
+        for piece in storage.encode_file_chunks(fold.records):
             if self.fold is not fold:
                 return
             _write(self.half_fd, piece)  # others get their turn in each
--- a/rushweir/daemon/control_operators.py
+++ b/rushweir/daemon/control_operators.py
@@ -99,7 +99,7 @@
         except (ValueError, TypeError) as problem:
             raise OperatorError(f"changes: rows of kind, name and base64 or null ({problem})") from None
         a = await self.process.propose(made, author, base)
-        return {"number": a.number, "why": a.why, "leader": a.leader, "unsure": a.unsure}
+        return {"number": a.version, "why": a.reason, "leader": a.leader, "unsure": a.unsure}
 
     def status(self) -> dict[str, Any]:
         p = self.process
@@ -126,4 +126,4 @@
             version, data = core.objects[key]
             rows.append([*key, version, b64encode(data).decode()])
             room -= len(data) + 64
-        return {"number": core.number, "objects": rows, "more": len(rows) < len(keys)}
+        return {"number": core.version, "objects": rows, "more": len(rows) < len(keys)}
--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -90,31 +90,31 @@
     def __init__(self, process: ControlProcess, send: Callable[[bytes], None], close: Callable[[str], None]) -> None:
         self.process, self.send_text, self.close = process, send, close
         config = process.config
-        self.mail = SealedChannel(config.me, config.count, config.key, secrets.token_bytes(NONCE_BYTES))
-        self.send_text(self.mail.hello())
+        self.channel = SealedChannel(config.me, config.count, config.key, secrets.token_bytes(NONCE_BYTES))
+        self.send_text(self.channel.hello())
 
     def send(self, body: list[Any]) -> None:
-        self.send_text(self.mail.write(body))
+        self.send_text(self.channel.write(body))
 
     def text(self, text: bytes | str) -> None:
-        self._take(self.mail.read, text)
+        self._take(self.channel.read, text)
 
     def call(self, call: rpc.Call | rpc.Reply) -> None:
-        self._take(self.mail.take, call)
+        self._take(self.channel.take, call)
 
     def _take(self, read: Callable[[Any], list[Any] | None], given: Any) -> None:
-        before = self.mail.state
+        before = self.channel.state
         try:
             body = read(given)
         except ChannelError as problem:
-            self.process.log("warning", "control_link_refused", peer=self.mail.peer, why=str(problem))
+            self.process.log("warning", "control_link_refused", peer=self.channel.peer, why=str(problem))
             self.close(str(problem))
             return
         if body is not None:
             self.process.received(self, body)
-        elif self.mail.state is READY:
+        elif self.channel.state is READY:
             self.send([])
-        elif self.mail.state is OPEN and before is READY:
+        elif self.channel.state is OPEN and before is READY:
             self.process.line_up(self)
 
     def writable(self, on: bool) -> None:
@@ -248,16 +248,16 @@
 
     def line_up(self, line: Line) -> None:
         """The newest connection of a peer holds: its old one, if there is one, is one that only this side has."""
-        peer = line.mail.peer
+        peer = line.channel.peer
         old, self.lines[peer] = self.lines.get(peer), line
         if old is not None:
             old.close("replaced")
         self.log("info", "control_linked", peer=peer)
-        self.core.linked(self.clock(), peer)
+        self.core.peer_connected(self.clock(), peer)
         self.carry_out()
 
     def line_down(self, line: Line) -> None:
-        peer = line.mail.peer
+        peer = line.channel.peer
         if self.lines.get(peer) is not line:
             return
         del self.lines[peer]
@@ -268,7 +268,7 @@
                 future.set_result(ProposalAnswered(ticket, None, why, -1, unsure=True))
 
     def received(self, line: Line, body: list[Any]) -> None:
-        peer = line.mail.peer
+        peer = line.channel.peer
         if self.lines.get(peer) is not line or not body:
             return
         match body:
@@ -282,7 +282,7 @@
             case ["report", told]:
                 self.tell_sessions("take_report", told)
             case _:
-                self.core.message(self.clock(), peer, body)
+                self.core.receive(self.clock(), peer, body)
                 self.carry_out()
 
     # --- proposals -------------------------------------------------------------------------------
@@ -320,7 +320,7 @@
             return
         a = await self._propose(changes, author, base)
         if peer in self.lines:
-            self.lines[peer].send(["proposed", ticket, a.number, a.why, a.leader, a.unsure])
+            self.lines[peer].send(["proposed", ticket, a.version, a.reason, a.leader, a.unsure])
 
     # --- orders ----------------------------------------------------------------------------------
 
@@ -329,8 +329,8 @@
             return
         self.carrying = True
         try:
-            while self.core.orders:
-                self._carry(self.core.orders.popleft())
+            while self.core.commands:
+                self._carry(self.core.commands.popleft())
         finally:
             self.carrying = False
         if self.sessions is not None:
@@ -347,23 +347,23 @@
             case Append() | Rewrite() | Compact():
                 self.disk.add(order)
             case ProposalAnswered():
-                if (future := self.answers.pop(order.ticket, None)) is not None and not future.done():
+                if (future := self.answers.pop(order.request_id, None)) is not None and not future.done():
                     future.set_result(order)
             case LogEvent():
                 self.log(order.level, order.cause, **order.fields)
             case Committed():
-                self.log("info", "step_in_force", number=order.step.version, author=order.step.author)
+                self.log("info", "step_in_force", number=order.change_set.version, author=order.change_set.author)
                 if self.sessions is not None:
-                    self.sessions.committed(self.clock(), order.step)
+                    self.sessions.committed(self.clock(), order.change_set)
             case SnapshotInstalled() if self.sessions is not None:
-                self.sessions.jumped(self.clock(), order.number, order.objects)
+                self.sessions.jumped(self.clock(), order.version, order.objects)
 
     def kept(self, serial: int) -> None:
-        self.core.kept(self.clock(), serial)
+        self.core.persisted(self.clock(), serial)
         self.carry_out()
 
     def folded(self, serial: int) -> None:
-        self.core.folded(self.clock(), serial)
+        self.core.compacted(self.clock(), serial)
         self.carry_out()
 
     def disk_failed(self, problem: OSError) -> None:
--- a/rushweir/lab/sim/control_days.py
+++ b/rushweir/lab/sim/control_days.py
@@ -30,7 +30,7 @@
 from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.commands import Committed, LogEvent, Objects, ProposalAnswered, Send, SnapshotInstalled
 from rushweir.rollout.election import LEADER
-from rushweir.rollout.log import apply
+from rushweir.rollout.log import apply_change_set
 
 Fault = tuple[float, str, tuple]
 TOGETHER_MS = 12_000.0  # after the last fault, until all must be as one and have taken a change
@@ -121,11 +121,11 @@
         good = [k for k in range(self.size.count) if not self.controls.control(k).outdated]
         if set(range(self.size.count)) - set(good) - {self.put_back}:
             raise Broken(f"only {good} take part, and {self.put_back} has an old disk")
-        numbers = {k: self.controls.control(k).number for k in good}
+        numbers = {k: self.controls.control(k).version for k in good}
         newest = max(self.truth, default=0)
         if set(numbers.values()) != {newest}:
             raise Broken(f"{TOGETHER_MS / 1000:g} s after the last fault: steps {numbers}, {newest} were in force")
-        if not any(a.number == newest for a in self.answers.values() if a.ticket == max(self.answers)):
+        if not any(a.version == newest for a in self.answers.values() if a.request_id == max(self.answers)):
             raise Broken(f"{TOGETHER_MS / 1000:g} s after the last fault a change is not taken")
         whole = replay(self.truth, newest)
         for k in good:
@@ -140,7 +140,7 @@
             up = [k for k in range(self.size.count) if self.controls.is_up(k) and not self.world.at[k].stopped]
             if up:
                 k = rng.choice(up)
-                base = None if rng.random() < 0.4 else max(0, self.controls.control(k).number - rng.randrange(3))
+                base = None if rng.random() < 0.4 else max(0, self.controls.control(k).version - rng.randrange(3))
                 self.propose(k, base, ask_leader=rng.random() < 0.7)
             self.world.later(rng.expovariate(1 / self.size.every_ms), self._operator)
 
@@ -162,13 +162,13 @@
 
     def _order(self, p: Process, order: Any) -> None:
         if isinstance(order, Committed):
-            self._in_force(p, order.step)
+            self._in_force(p, order.change_set)
         elif isinstance(order, SnapshotInstalled):
-            if self.told.get(p, 0) > order.number:
-                raise Broken(f"{p.name} goes back from step {self.told[p]} to {order.number}")
-            self.told[p] = order.number
-            if order.objects != replay(self.truth, order.number):
-                raise Broken(f"{p.name} has another whole at step {order.number}")
+            if self.told.get(p, 0) > order.version:
+                raise Broken(f"{p.name} goes back from step {self.told[p]} to {order.version}")
+            self.told[p] = order.version
+            if order.objects != replay(self.truth, order.version):
+                raise Broken(f"{p.name} has another whole at step {order.version}")
         elif isinstance(order, LogEvent):
             if order.cause == "leads" and self.falls:
                 self.falls -= 1
@@ -177,11 +177,11 @@
         elif isinstance(order, Send):
             if order.body[0] == "vote_answer" and order.body[3]:
                 kept = self.controls.on_disk(p.name)
-                if (kept.term, kept.voted) != (order.body[1], order.peer):
+                if (kept.term, kept.voted_for) != (order.body[1], order.peer):
                     raise Broken(f"{p.name} tells a vote in term {order.body[1]} that is not on its disk")
         elif isinstance(order, ProposalAnswered):
-            self.answers[order.ticket] = order
-            if order.number is not None:
+            self.answers[order.request_id] = order
+            if order.version is not None:
                 self._confirmed(p, order)
 
     def _in_force(self, p: Process, step: ChangeSet) -> None:
@@ -210,16 +210,16 @@
             )
 
     def _confirmed(self, p: Process, a: ProposalAnswered) -> None:
-        step = self.truth.get(a.number or 0)
-        if step is None or step.author != str(a.ticket):
-            raise Broken(f"{p.name} confirms {a.number} to another than it was told for")
+        step = self.truth.get(a.version or 0)
+        if step is None or step.author != str(a.request_id):
+            raise Broken(f"{p.name} confirms {a.version} to another than it was told for")
         on = [k for k in range(self.size.count) if self._has(k, step)]
         if len(on) < self.majority:
-            raise Broken(f"{p.name} confirms step {a.number}, which is on the disks of {on}")
+            raise Broken(f"{p.name} confirms step {a.version}, which is on the disks of {on}")
 
     def _has(self, k: int, step: ChangeSet) -> bool:
         kept = self.controls.on_disk(k)
-        return step.version <= kept.base.number or any(e.step == step for e in kept.entries)
+        return step.version <= kept.snapshot.version or any(e.change_set == step for e in kept.entries)
 
     def _look(self, p: Process) -> None:
         control = p.core.core
@@ -235,14 +235,14 @@
             raise Broken(f"{k} is cut off and says that it has a majority")
         self.world._turned(p)
         ticket = self.propose(k, None, ask_leader=False)
-        if ticket not in self.answers or self.answers[ticket].number is not None:
+        if ticket not in self.answers or self.answers[ticket].version is not None:
             raise Broken(f"{k} is cut off and takes a change")
 
 
 def replay(steps: dict[int, ChangeSet], until: int) -> Objects:
     objects: Objects = {}
     for n in range(1, until + 1):
-        apply(objects, steps[n])
+        apply_change_set(objects, steps[n])
     return objects
 
 
--- a/rushweir/lab/sim/control_faults.py
+++ b/rushweir/lab/sim/control_faults.py
@@ -142,8 +142,8 @@
             return
         for x in range(self.size.count):
             self.controls.kill(x)
-        made = storage.rebuilt(k, self.size.count, [self.controls.on_disk(x) for x in others])
-        self.controls.disks[k].data = storage.whole(made.records())
+        made = storage.rebuild_state(k, self.size.count, [self.controls.on_disk(x) for x in others])
+        self.controls.disks[k].data = storage.encode_file(made.records())
         for x in range(self.size.count):
             self.world.later(self.world.rng.uniform(0.0, ms / 4), self.controls.start, x)
 
@@ -169,6 +169,6 @@
         last = self.truth.get(max(self.truth, default=0))
         if last is None or not all(self._has(x, last) for x in others):
             return []
-        heard = min(self.controls.control(x).heard[k] for x in others)
+        heard = min(self.controls.control(x).known_positions[k] for x in others)
         copies = self.controls.disks[k].copies
-        return [c for c in copies if storage.read(c, k, self.size.count).position < heard]
+        return [c for c in copies if storage.decode_file(c, k, self.size.count).position < heard]
--- a/rushweir/lab/sim/control_plants.py
+++ b/rushweir/lab/sim/control_plants.py
@@ -13,24 +13,24 @@
 from math import inf
 from typing import Any
 
-from rushweir.lab.sim.control_world import BOUNDS
+from rushweir.lab.sim.control_world import LOG_LIMITS
 from rushweir.rollout.commands import Send
 from rushweir.rollout.control import Control
 from rushweir.rollout.control_proposals import Proposals
 from rushweir.rollout.follower import Follower
-from rushweir.rollout.log_compaction import RESTING, LogCompaction
-from rushweir.rollout.storage import Kept
+from rushweir.rollout.log_compaction import IDLE, LogCompaction
+from rushweir.rollout.storage import PersistentState
 
 
 class HastyVote(Control):
-    def tell(self, peer: int, kind: str, *rest: Any) -> None:
-        self._send(Send(peer, [kind, self.term, 0, *rest]))
+    def send(self, peer: int, kind: str, *rest: Any) -> None:
+        self._send_now(Send(peer, [kind, self.term, 0, *rest]))
 
 
 class HastyFollower(Follower):
-    def answer(self, leader: int) -> None:
+    def send_append_answer(self, leader: int) -> None:
         c = self.control
-        c.tell(leader, "append_answer", True, max(self.matched, c.commit), self.sent_at)
+        c.send(leader, "append_answer", True, max(self.match_index, c.commit_index), self.sent_at)
 
 
 class HastyAnswer(Control):
@@ -40,21 +40,23 @@
 
 
 class OlderTerm(Control):
-    def lead(self) -> None:
-        super().lead()
+    def become_leader(self) -> None:
+        super().become_leader()
         self.peers = dict(self.peers)
 
-    def count_up(self) -> None:
-        index = sorted((self.durable, *(p.match for p in self.peers.values())), reverse=True)[self.majority - 1]
-        if index > self.commit:
-            self.force(index)
+    def advance_commit_index(self) -> None:
+        index = sorted((self.persisted_index, *(p.match_index for p in self.peers.values())), reverse=True)[
+            self.majority - 1
+        ]
+        if index > self.commit_index:
+            self.commit_through(index)
             for p in self.peers.values():
-                p.send(beat=True)
+                p.replicate(heartbeat=True)
 
 
 class Lone(Control):
-    def count_up(self) -> None:
-        self.force(self.durable)
+    def advance_commit_index(self) -> None:
+        self.commit_through(self.persisted_index)
 
 
 class Sure(Control):
@@ -74,23 +76,23 @@
 
 
 class Trusting(Control):
-    def _is_outdated(self, source: int, position: int, kind: str) -> bool:
+    def _is_from_outdated_disk(self, source: int, position: int, kind: str) -> bool:
         return False
 
-    def told_outdated(self, position: int) -> None:
+    def check_own_position(self, position: int) -> None:
         return
 
 
 class RestlessCompaction(LogCompaction):
-    def turn(self) -> None:
-        self.state = RESTING
-        super().turn()
+    def advance(self) -> None:
+        self.state = IDLE
+        super().advance()
 
 
 class Restless(Control):
     def __init__(self, *given: Any, **named: Any) -> None:
         super().__init__(*given, **named)
-        self.folding = RestlessCompaction(self)
+        self.compaction = RestlessCompaction(self)
 
 
 KINDS = {
@@ -103,8 +105,8 @@
 def planted(kind: str) -> dict[str, Any]:
     """What a day is given to play with the fault."""
 
-    def make(me: int, count: int, kept: Kept, seed: int, now: float) -> Control:
-        return KINDS[kind](me, count, kept, seed, now, bounds=BOUNDS)
+    def make(me: int, count: int, kept: PersistentState, seed: int, now: float) -> Control:
+        return KINDS[kind](me, count, kept, seed, now, limits=LOG_LIMITS)
 
     disk = {"forget": kind == "forgetful", "over": kind == "over"}
     return {"make": make, "believe": kind == "believed", "disk": disk}
--- a/rushweir/lab/sim/control_world.py
+++ b/rushweir/lab/sim/control_world.py
@@ -17,30 +17,32 @@
 from rushweir.rollout.change_sets import Change
 from rushweir.rollout.commands import Append, Compact, Rewrite, Send
 from rushweir.rollout.control import Control
-from rushweir.rollout.log import Bounds
-from rushweir.rollout.storage import Kept
+from rushweir.rollout.log import LogLimits
+from rushweir.rollout.storage import PersistentState
 
 MAKE_MS = ((1.0, 400.0), (400.0, 4_000.0), (4_000.0, 20_000.0))  # until the file that a fold asked for is made
 RELINK_MS = (20.0, 600.0)  # until a stream stands again
-BOUNDS = Bounds(entries=12, bytes=100_000, part=60, message=1)  # so small that a day has folds and many messages
-Make = Callable[[int, int, Kept, int, float], Control]
+LOG_LIMITS = LogLimits(
+    entries=12, bytes=100_000, chunk_bytes=60, message_bytes=1
+)  # so small that a day has folds and many messages
+Make = Callable[[int, int, PersistentState, int, float], Control]
 
 
-def make(me: int, count: int, kept: Kept, seed: int, now: float) -> Control:
-    return Control(me, count, kept, seed, now, bounds=BOUNDS)
+def make(me: int, count: int, kept: PersistentState, seed: int, now: float) -> Control:
+    return Control(me, count, kept, seed, now, limits=LOG_LIMITS)
 
 
 class Node:
     """A control process as the world runs it."""
 
     def __init__(self, core: Control) -> None:
-        self.core, self.orders = core, core.orders
-        self.start, self.next_at, self.advance, self.kept = core.start, core.next_at, core.advance, core.kept
-        self.folded = core.folded
+        self.core, self.orders = core, core.commands
+        self.start, self.next_at, self.advance, self.kept = core.start, core.next_at, core.advance, core.persisted
+        self.compacted = core.compacted
 
     def datagram(self, now: float, data: Any) -> None:
         source, body = data
-        self.core.message(now, source, msgpack.unpackb(body))
+        self.core.receive(now, source, msgpack.unpackb(body))
 
 
 class Streams:
@@ -113,7 +115,7 @@
             return
         self.up[pair] = True
         for p, other in zip(ends, (b, a), strict=True):
-            p.core.core.linked(p.clock(self.world.now), other)
+            p.core.core.peer_connected(p.clock(self.world.now), other)
             self.world._turned(p)
 
     def mend(self, ways: set[tuple[int, int]]) -> None:
@@ -149,7 +151,7 @@
     def asked(self, order: Append | Rewrite | Compact | Place) -> None:
         data = b""
         if not isinstance(order, Place):
-            data = (storage.pack if isinstance(order, Append) else storage.whole)(order.records)
+            data = (storage.pack_records if isinstance(order, Append) else storage.encode_file)(order.records)
         self.writing.append((order, data))
 
     def done(self) -> Append | Rewrite | Compact | Place | None:
@@ -164,7 +166,7 @@
             case Compact():
                 self.fold, self.wanted, self.from_ = order, data, len(self.data)
             case Place() if self.fold is order.fold or self.over:
-                made = self.wanted if self.fold is order.fold else storage.whole(order.fold.records)
+                made = self.wanted if self.fold is order.fold else storage.encode_file(order.fold.records)
                 self._same(order.fold, made)
                 self.data, self.fold = made + (b"" if self.forget else self.data[self.from_ :]), None
             case Place():
@@ -173,7 +175,7 @@
 
     @staticmethod
     def _same(order: Rewrite | Compact, asked: bytes) -> None:
-        if storage.whole(order.records) != asked:
+        if storage.encode_file(order.records) != asked:
             raise Broken("what a whole file is made of was changed before it was written")
 
     def crash(self, rng: Any) -> None:
@@ -198,7 +200,9 @@
         as Disk has them."""
         self.world, self.count, self.make, self.believe = world, count, make, believe
         self.streams = Streams(world, count)
-        self.disks = {k: Disk(storage.whole(Kept(k, count).records()), **(disk or {})) for k in range(count)}
+        self.disks = {
+            k: Disk(storage.encode_file(PersistentState(k, count).records()), **(disk or {})) for k in range(count)
+        }
         world.watchers.append(self._order)
         self.lives = dict.fromkeys(range(count), 0)
 
@@ -214,7 +218,7 @@
             return
         disk, rng, kept = self.disks[k], self.world.rng, self.on_disk(k)
         if not self.believe:
-            disk.data = disk.data[: kept.good]
+            disk.data = disk.data[: kept.valid_bytes]
         self.lives[k] += 1
         seed = rng.getrandbits(32)
         self.world.start(
@@ -234,9 +238,9 @@
         p.core.core.propose(p.clock(self.world.now), ticket, changes, author, base)
         self.world._turned(p)
 
-    def on_disk(self, k: int) -> Kept:
+    def on_disk(self, k: int) -> PersistentState:
         try:
-            return storage.read(self.disks[k].data, k, self.count)
+            return storage.decode_file(self.disks[k].data, k, self.count)
         except storage.StorageError as problem:
             raise Broken(f"the disk of {k} can't be read: {problem}") from None
 
@@ -263,7 +267,7 @@
                 ms = self.world.rng.uniform(*self.world.rng.choice(MAKE_MS))
                 self.world.later(ms, self._asked, p, Place(fold))
             case Place(fold):
-                self._told(p, p.core.folded, fold.serial)
+                self._told(p, p.core.compacted, fold.serial)
             case Append() | Rewrite() as write:
                 self._told(p, p.core.kept, write.serial)
 
--- a/rushweir/rollout/commands.py
+++ b/rushweir/rollout/commands.py
@@ -51,14 +51,14 @@
 class Committed:
     """A change set is committed. In order of versions, without a gap except at ``SnapshotInstalled``."""
 
-    step: ChangeSet
+    change_set: ChangeSet
 
 
 @dataclass(slots=True)
 class SnapshotInstalled:
     """This process was so far behind that it took the whole: ``number`` is in force, ``objects`` is all there is."""
 
-    number: int
+    version: int
     objects: Objects
 
 
@@ -69,9 +69,9 @@
     ``leader`` is whom to ask instead, -1: nobody known. ``unsure``: it may come into force yet; nobody was told so.
     """
 
-    ticket: int
-    number: int | None
-    why: str = ""
+    request_id: int
+    version: int | None
+    reason: str = ""
     leader: int = -1
     unsure: bool = False
 
@@ -85,4 +85,4 @@
     fields: dict[str, Any] = field(default_factory=dict)
 
 
-Order = Send | Append | Rewrite | Compact | Committed | SnapshotInstalled | ProposalAnswered | LogEvent
+Command = Send | Append | Rewrite | Compact | Committed | SnapshotInstalled | ProposalAnswered | LogEvent
--- a/rushweir/rollout/control_messages.py
+++ b/rushweir/rollout/control_messages.py
@@ -70,7 +70,7 @@
 
 def _vote(c: Control, source: int, term: int, rest: list) -> None:
     if term < c.term:
-        c.tell(source, "vote_answer", False)  # it learns of the newer term
+        c.send(source, "vote_answer", False)  # it learns of the newer term
     else:
         c.election.asked_vote(source, *rest)
 
@@ -82,7 +82,7 @@
 
 def _from_leader(c: Control, source: int, term: int) -> bool:
     if term < c.term:
-        c.tell(source, "append_answer", False, 0, 0.0)  # it learns of the newer term
+        c.send(source, "append_answer", False, 0, 0.0)  # it learns of the newer term
         return False
     if c.election.role is LEADER:
         raise ValueError(f"a second leader of term {term}")  # can't be, unless a vote was forgotten
@@ -97,7 +97,7 @@
     if len(told) != c.count:
         raise ValueError(f"positions of {len(told)} processes, of {c.count}")
     if _from_leader(c, source, term):
-        c.take_positions(told)
+        c.merge_positions(told)
         if not c.outdated:
             c.follower.append(source, before, before_term, commit, rows, sent_at)
 
@@ -105,7 +105,7 @@
 def _append_answer(c: Control, source: int, term: int, rest: list) -> None:
     if term == c.term and source in c.peers:
         c.peers[source].answered(*rest)
-        c.count_up()
+        c.advance_commit_index()
 
 
 def _part(c: Control, source: int, term: int, rest: list) -> None:
@@ -119,7 +119,7 @@
 
 
 def _outdated(c: Control, source: int, term: int, rest: list) -> None:
-    c.told_outdated(rest[0])
+    c.check_own_position(rest[0])
 
 
 HANDLERS = {
--- a/rushweir/rollout/control_peers.py
+++ b/rushweir/rollout/control_peers.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from rushweir.rollout.storage import Parts
+from rushweir.rollout.storage import SnapshotChunks
 
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
@@ -22,13 +22,13 @@
 
 
 @dataclass(slots=True)
-class Whole:
+class SnapshotTransfer:
     """The base, being told to one peer."""
 
     index: int
     term: int
-    number: int
-    parts: Parts
+    version: int
+    parts: SnapshotChunks
     next: int = 0
     sent_at: float = 0.0
 
@@ -38,63 +38,74 @@
 
     def __init__(self, control: Control, id: int) -> None:
         self.control, self.id = control, id
-        self.match = 0  # entries up to this one are on its disk
-        self.next = control.log.last + 1
+        self.match_index = 0  # entries up to this one are on its disk
+        self.next = control.log.last_index + 1
         self.heard_at = control.now  # when that was sent which it answered last
-        self.beat_at = control.now
-        self.whole: Whole | None = None
+        self.heartbeat_at = control.now
+        self.transfer: SnapshotTransfer | None = None
 
     def tick(self) -> None:
-        if self.control.now >= self.beat_at:
-            w = self.whole
-            if w is not None and self.control.now - w.sent_at >= self.control.times.election:
+        if self.control.now >= self.heartbeat_at:
+            w = self.transfer
+            if w is not None and self.control.now - w.sent_at >= self.control.timing.election_timeout_ms:
                 self._send_part(w)
-            self.send(beat=True)
+            self.replicate(heartbeat=True)
 
-    def linked(self) -> None:
+    def connected(self) -> None:
         """What was on its way is lost."""
-        self.next = self.match + 1
-        if self.whole is not None:
-            self._send_part(self.whole)
-        self.send(beat=True)
+        self.next = self.match_index + 1
+        if self.transfer is not None:
+            self._send_part(self.transfer)
+        self.replicate(heartbeat=True)
 
-    def send(self, beat: bool = False) -> None:
+    def replicate(self, heartbeat: bool = False) -> None:
         """What it may get now, at least a word if ``beat``."""
         log = self.control.log
-        if self.whole is None and self.next <= log.base.index:
-            b = log.base
-            self.whole = Whole(b.index, b.term, b.number, Parts(b, log.bounds.part))
-            self._send_part(self.whole)
-        if self.whole is not None:
-            if beat:  # an entry's place that it can't have: it answers, and that is all that is wanted
-                self._append(log.base.index, [])
+        if self.transfer is None and self.next <= log.snapshot.index:
+            b = log.snapshot
+            self.transfer = SnapshotTransfer(b.index, b.term, b.version, SnapshotChunks(b, log.limits.chunk_bytes))
+            self._send_part(self.transfer)
+        if self.transfer is not None:
+            if heartbeat:  # an entry's place that it can't have: it answers, and that is all that is wanted
+                self._append(log.snapshot.index, [])
             return
-        while (rows := self._rows()) or beat:
-            beat = False
+        while (rows := self._rows()) or heartbeat:
+            heartbeat = False
             self._append(self.next - 1, rows)
             self.next += len(rows)
 
     def _append(self, before: int, rows: list[list[Any]]) -> None:
         c = self.control
-        self.beat_at = c.now + c.times.beat
-        c.tell(self.id, "append", before, c.log.term(before), min(c.commit, c.log.last), rows, c.positions(), c.now)
+        self.heartbeat_at = c.now + c.timing.heartbeat_ms
+        c.send(
+            self.id,
+            "append",
+            before,
+            c.log.term(before),
+            min(c.commit_index, c.log.last_index),
+            rows,
+            c.positions(),
+            c.now,
+        )
 
     def _rows(self) -> list[list[Any]]:
         log, rows, size = self.control.log, [], 0
-        flying = sum(len(log.at(n).data) for n in range(max(self.match, log.base.index) + 1, self.next))
-        most, k = min(log.bounds.message, FLYING_BYTES - flying), self.next
-        while k <= log.last and k - self.match <= FLYING and size < most:
-            e = log.at(k)
+        flying = sum(
+            len(log.entry_at(n).data) for n in range(max(self.match_index, log.snapshot.index) + 1, self.next)
+        )
+        most, k = min(log.limits.message_bytes, FLYING_BYTES - flying), self.next
+        while k <= log.last_index and k - self.match_index <= FLYING and size < most:
+            e = log.entry_at(k)
             rows.append([e.term, e.data])
             size += len(e.data)
             k += 1
         return rows
 
-    def _send_part(self, w: Whole) -> None:
+    def _send_part(self, w: SnapshotTransfer) -> None:
         c = self.control
         w.sent_at = c.now
-        rows = w.parts.rows(w.next)
-        c.tell(self.id, "part", w.index, w.term, w.number, w.next, w.parts.is_last(w.next), rows, c.now)
+        rows = w.parts.chunk(w.next)
+        c.send(self.id, "part", w.index, w.term, w.version, w.next, w.parts.is_last(w.next), rows, c.now)
 
     # --- answers ---------------------------------------------------------------------------------
 
@@ -102,18 +113,18 @@
         """``index``: up to where its disk has what this log has, or up to where the two may be equal."""
         self._heard(sent_at)
         if fits:
-            self.match = max(self.match, min(index, self.control.log.last))
-            self.next = max(self.next, self.match + 1)
-            if self.whole is not None and self.match >= self.whole.index:
-                self.whole = None
-        elif self.whole is None:
-            self.next = max(self.match, min(index, self.next - 2, self.control.log.last)) + 1
-        self.send()
+            self.match_index = max(self.match_index, min(index, self.control.log.last_index))
+            self.next = max(self.next, self.match_index + 1)
+            if self.transfer is not None and self.match_index >= self.transfer.index:
+                self.transfer = None
+        elif self.transfer is None:
+            self.next = max(self.match_index, min(index, self.next - 2, self.control.log.last_index)) + 1
+        self.replicate()
 
     def part_answered(self, index: int, wanted: int, sent_at: float) -> None:
         self._heard(sent_at)
-        w = self.whole
-        if w is not None and w.index == index and 0 <= wanted < w.parts.known and wanted != w.next:
+        w = self.transfer
+        if w is not None and w.index == index and 0 <= wanted < w.parts.available and wanted != w.next:
             w.next = wanted
             self._send_part(w)
 
--- a/tests/rollout/test_control_core.py
+++ b/tests/rollout/test_control_core.py
@@ -18,12 +18,12 @@
     Send,
     SnapshotInstalled,
 )
-from rushweir.rollout.control import MOST_HELD, Control
+from rushweir.rollout.control import MAX_DELAYED_MESSAGES, Control
 from rushweir.rollout.control_channel import NONCE_BYTES, OPEN, ChannelError, SealedChannel
-from rushweir.rollout.control_proposals import MOST_OPEN
+from rushweir.rollout.control_proposals import MAX_PENDING_PROPOSALS
 from rushweir.rollout.election import LEADER
-from rushweir.rollout.log import Bounds
-from rushweir.rollout.storage import Kept, pack, read, whole
+from rushweir.rollout.log import LogLimits
+from rushweir.rollout.storage import PersistentState, decode_file, encode_file, pack_records
 
 TICK_MS = 50.0
 
@@ -31,10 +31,10 @@
 class Three:
     """Three of them, whose messages and writes arrive at once, but for who is away or whose disk hangs."""
 
-    def __init__(self, bounds: Bounds | None = None) -> None:
-        more = {"bounds": bounds} if bounds else {}
-        self.all = [Control(k, 3, Kept(k, 3), k, 0.0, **more) for k in range(3)]
-        self.disks = [whole(Kept(k, 3).records()) for k in range(3)]
+    def __init__(self, limits: LogLimits | None = None) -> None:
+        more = {"limits": limits} if limits else {}
+        self.all = [Control(k, 3, PersistentState(k, 3), k, 0.0, **more) for k in range(3)]
+        self.disks = [encode_file(PersistentState(k, 3).records()) for k in range(3)]
         self.away: set[int] = set()
         self.hung: set[int] = set()
         self.waiting: list[tuple[int, int]] = []
@@ -48,25 +48,25 @@
         while busy:
             busy = False
             for k, c in enumerate(self.all):
-                while c.orders:
+                while c.commands:
                     busy = True
-                    self._carry(k, c.orders.popleft())
+                    self._carry(k, c.commands.popleft())
 
     def _carry(self, k: int, order: object) -> None:
         c = self.all[k]
         if isinstance(order, Send):
             if not {k, order.peer} & self.away:
-                self.all[order.peer].message(self.now, k, msgpack.unpackb(msgpack.packb(order.body)))
+                self.all[order.peer].receive(self.now, k, msgpack.unpackb(msgpack.packb(order.body)))
         elif isinstance(order, Append | Rewrite):
-            self.disks[k] = whole(order.records) if isinstance(order, Rewrite) else (
-                self.disks[k] + pack(order.records))  # fmt: skip
+            self.disks[k] = encode_file(order.records) if isinstance(order, Rewrite) else (
+                self.disks[k] + pack_records(order.records))  # fmt: skip
             if k in self.hung:
                 self.waiting.append((k, order.serial))
             else:
-                c.kept(self.now, order.serial)
+                c.persisted(self.now, order.serial)
         elif isinstance(order, Compact):
-            self.disks[k] = whole(order.records)
-            c.folded(self.now, order.serial)
+            self.disks[k] = encode_file(order.records)
+            c.compacted(self.now, order.serial)
         else:
             self.seen.append((k, order))
 
@@ -85,7 +85,7 @@
     def propose(self, c: Control, ticket: int, *names: str, base: int | None = None, data: bytes | None = b"x"):
         c.propose(self.now, ticket, tuple(Change(("partner", n), data) for n in names), "me", base)
         self.settle()
-        return next((o for _, o in self.seen if isinstance(o, ProposalAnswered) and o.ticket == ticket), None)
+        return next((o for _, o in self.seen if isinstance(o, ProposalAnswered) and o.request_id == ticket), None)
 
 
 @pytest.fixture
@@ -97,12 +97,16 @@
 
 def test_one_leads_and_steps_are_numbered(three):
     c = three.leader()
-    assert [three.propose(c, n, "a").number for n in (1, 2, 3)] == [1, 2, 3]
-    assert {x.number for x in three.all} == {3} and len({x.leader for x in three.all}) == 1
+    assert [three.propose(c, n, "a").version for n in (1, 2, 3)] == [1, 2, 3]
+    assert {x.version for x in three.all} == {3} and len({x.leader for x in three.all}) == 1
     for x in three.all:
         assert x.objects == {("partner", "a"): (3, b"x")}
-        assert [s.version for s in x.since(1)] == [2, 3] and x.since(0) and x.since(3) == []
-        told = [o.step.version for k, o in three.seen if k == x.me and isinstance(o, Committed)]
+        assert (
+            [s.version for s in x.change_sets_since(1)] == [2, 3]
+            and x.change_sets_since(0)
+            and x.change_sets_since(3) == []
+        )
+        told = [o.change_set.version for k, o in three.seen if k == x.me and isinstance(o, Committed)]
         assert told == [1, 2, 3]
 
 
@@ -116,11 +120,11 @@
         (6, ("x",), {"base": 7}, "version 7 is not known here"),
     ):  # fmt: skip
         answer = three.propose(c, ticket, *names, **more)
-        assert answer.number is None and not answer.unsure and says in answer.why, answer
-    assert three.propose(c, 7, "x", base=0).number == 2  # nobody changed that one since
+        assert answer.version is None and not answer.unsure and says in answer.reason, answer
+    assert three.propose(c, 7, "x", base=0).version == 2  # nobody changed that one since
     other = three.all[(c.me + 1) % 3]
     answer = three.propose(other, 8, "x")
-    assert (answer.number, answer.leader) == (None, c.me)
+    assert (answer.version, answer.leader) == (None, c.me)
 
 
 def test_a_change_that_is_not_in_force_yet_comes_before_a_later_one(three):
@@ -128,33 +132,33 @@
     c = three.leader()
     three.away |= {k for k in range(3) if k != c.me}
     assert three.propose(c, 1, "a", base=0) is None
-    assert "partner a: changed by step 1" in three.propose(c, 2, "a", base=0).why
+    assert "partner a: changed by step 1" in three.propose(c, 2, "a", base=0).reason
     three.away.clear()
     three.run(600.0)
-    assert next(o.number for _, o in three.seen if isinstance(o, ProposalAnswered) and o.ticket == 1) == 1
+    assert next(o.version for _, o in three.seen if isinstance(o, ProposalAnswered) and o.request_id == 1) == 1
 
 
 def test_a_base_older_than_the_log_is_refused():
-    t = Three(Bounds(entries=4))
+    t = Three(LogLimits(entries=4))
     t.run(5_000.0)
     c = t.leader()
     for n in range(1, 30):
-        assert t.propose(c, n, f"p{n}").number == n
-    assert c.floor > 10 and len(c.log.entries) <= 9 and c.since(c.floor - 1) is None
-    assert "too much has changed since version 3" in t.propose(c, 100, "p50", base=3).why
-    assert t.propose(c, 101, "p50", base=c.floor).number == 30
+        assert t.propose(c, n, f"p{n}").version == n
+    assert c.snapshot_version > 10 and len(c.log.entries) <= 9 and c.change_sets_since(c.snapshot_version - 1) is None
+    assert "too much has changed since version 3" in t.propose(c, 100, "p50", base=3).reason
+    assert t.propose(c, 101, "p50", base=c.snapshot_version).version == 30
 
 
 def test_what_waits_is_bounded(three):
     c = three.leader()
     three.away |= {k for k in range(3) if k != c.me}
-    for n in range(MOST_OPEN):
+    for n in range(MAX_PENDING_PROPOSALS):
         assert three.propose(c, n, f"p{n}") is None
-    assert "256 changes wait already" in three.propose(c, 999, "x").why
+    assert "256 changes wait already" in three.propose(c, 999, "x").reason
     three.run(2_000.0)
     answers = [o for _, o in three.seen if isinstance(o, ProposalAnswered)]
-    assert sum(o.unsure for o in answers) == MOST_OPEN and not any(o.number for o in answers)
-    assert "no majority" in three.propose(c, 1_000, "x").why and not c.status(three.now)["majority"]
+    assert sum(o.unsure for o in answers) == MAX_PENDING_PROPOSALS and not any(o.version for o in answers)
+    assert "no majority" in three.propose(c, 1_000, "x").reason and not c.status(three.now)["majority"]
 
 
 def test_a_slow_disk_is_not_silence_and_what_it_holds_is_not_confirmed(three):
@@ -163,21 +167,21 @@
     three.hung |= {x.me for x in followers}
     assert three.propose(c, 1, "a") is None
     three.run(6_000.0)
-    assert c.election.role is LEADER and c.status(three.now)["majority"] and c.number == 0
+    assert c.election.role is LEADER and c.status(three.now)["majority"] and c.version == 0
     assert three.propose(c, 2, "b") is None
     for k, serial in three.waiting[:1]:  # one of the two has it on disk: a majority
-        three.all[k].kept(three.now, serial)
+        three.all[k].persisted(three.now, serial)
     three.settle()
-    assert c.number == 1
+    assert c.version == 1
 
 
 def test_messages_that_wait_for_the_disk_are_bounded(three):
     x = three.all[0]
     three.hung.add(0)
-    x.message(three.now, 1, ["vote", 801, 1_000, 5, 5])
-    for n in range(2 * MOST_HELD):
-        x.message(three.now, 2, ["pre", 802, 1_000, 810 + n, 5, 5])
-    assert len(x.held) == MOST_HELD and not [o for o in x.orders if isinstance(o, Send)]
+    x.receive(three.now, 1, ["vote", 801, 1_000, 5, 5])
+    for n in range(2 * MAX_DELAYED_MESSAGES):
+        x.receive(three.now, 2, ["pre", 802, 1_000, 810 + n, 5, 5])
+    assert len(x.delayed) == MAX_DELAYED_MESSAGES and not [o for o in x.commands if isinstance(o, Send)]
 
 
 JUNK = st.recursive(
@@ -192,11 +196,11 @@
 def test_junk_is_dropped_and_harms_nobody(kind, rest, source):
     t = Three()
     c = t.all[0]
-    c.message(0.0, source, [kind, *rest])
+    c.receive(0.0, source, [kind, *rest])
     t.settle()
     if c.counts["bad_messages"]:
-        assert c.term == 0 and c.number == 0 and not c.outdated
-    assert read(t.disks[0], 0, 3).term == c.term
+        assert c.term == 0 and c.version == 0 and not c.outdated
+    assert decode_file(t.disks[0], 0, 3).term == c.term
 
 
 def test_an_entry_that_is_in_force_is_never_replaced(three):
@@ -204,9 +208,9 @@
     three.propose(c, 1, "a")
     x = three.all[(c.me + 1) % 3]
     before = list(x.log.entries)
-    x.message(three.now, c.me, ["append", c.term, c.told_position, 0, 0, 9, [[5, b""]], [0, 0, 0], three.now])
+    x.receive(three.now, c.me, ["append", c.term, c.persisted_position, 0, 0, 9, [[5, b""]], [0, 0, 0], three.now])
     assert x.log.entries == before and x.counts["bad_messages"] == 1
-    assert any(isinstance(o, LogEvent) and "is in force here" in o.fields["why"] for o in x.orders)
+    assert any(isinstance(o, LogEvent) and "is in force here" in o.fields["why"] for o in x.commands)
 
 
 def test_a_start_tells_what_is_known_as_a_whole(three):
@@ -214,10 +218,10 @@
     for n in (1, 2):
         three.propose(c, n, "a")
     three.run(600.0)  # a quiet time, in which what is in force is noted on disk
-    again = Control(c.me, 3, read(three.disks[c.me], c.me, 3), 9, 0.0)
+    again = Control(c.me, 3, decode_file(three.disks[c.me], c.me, 3), 9, 0.0)
     again.start(0.0)
-    (told,) = again.orders
-    assert isinstance(told, SnapshotInstalled) and told.number == 2 and told.objects == again.objects
+    (told,) = again.commands
+    assert isinstance(told, SnapshotInstalled) and told.version == 2 and told.objects == again.objects
     assert again.election.role is not LEADER
 
 
--- a/tests/rollout/test_control_days.py
+++ b/tests/rollout/test_control_days.py
@@ -32,12 +32,12 @@
 
         def watch(_, order):
             if isinstance(order, ProposalAnswered):
-                seen["confirmed" if order.number else "unsure" if order.unsure else "refused"] += 1
+                seen["confirmed" if order.version else "unsure" if order.unsure else "refused"] += 1
             seen["jumped"] += isinstance(order, SnapshotInstalled)
 
         day.world.watchers.append(watch)
         day.play()
-        seen["folded"] += sum(day.controls.control(k).floor > 0 for k in range(3))
+        seen["folded"] += sum(day.controls.control(k).snapshot_version > 0 for k in range(3))
         seen["old disk"] += day.put_back is not None
     assert all(seen.values()), seen
     assert seen["confirmed"] > 500
@@ -75,19 +75,19 @@
         day.controls.start(k)
     world.later(1_000.0, day._operator)
     world.run(30_000.0)
-    before = day.controls.control(alone).number
+    before = day.controls.control(alone).version
     day.alone(alone, 0, HOUR_MS)
     for minute in range(1, 60):
         world.run(30_000.0 + minute * 60_000.0)
         p = world.at[alone]
         seen = p.core.core.status(p.clock(world.now))
-        assert not seen["majority"] and seen["number"] == day.controls.control(alone).number <= before + 1
+        assert not seen["majority"] and seen["number"] == day.controls.control(alone).version <= before + 1
         ticket = day.propose(alone, None, ask_leader=False)
-        assert day.answers[ticket].number is None and "majority" in day.answers[ticket].why
+        assert day.answers[ticket].version is None and "majority" in day.answers[ticket].reason
     taken = len(day.truth)
     assert taken > before + 100  # the others went on, and beyond what the log keeps one by one
     world.run(30_000.0 + HOUR_MS + 12_000.0)
-    assert {day.controls.control(k).number for k in range(3)} == {len(day.truth)}
+    assert {day.controls.control(k).version for k in range(3)} == {len(day.truth)}
     assert day.controls.control(alone).objects == day.controls.control((alone + 1) % 3).objects
 
 
--- a/tests/rollout/test_control_files.py
+++ b/tests/rollout/test_control_files.py
@@ -11,8 +11,8 @@
 from rushweir.daemon.control_files import HALF_MADE, NAME, ControlFiles, Place
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.commands import Append, Compact, Rewrite
-from rushweir.rollout.log import Base, entry_of
-from rushweir.rollout.storage import Kept, read, whole
+from rushweir.rollout.log import Snapshot, encode_entry
+from rushweir.rollout.storage import PersistentState, decode_file, encode_file
 
 OBJECTS = {("partner", f"p{n}"): (1, bytes(60)) for n in range(2_000)}
 WAYS = ("write", "fsync", "fdatasync", "replace")
@@ -59,8 +59,10 @@
 def fold(after: int, base: int) -> Compact:
     """All up to ``after``, the first ``base`` of it folded."""
     objects = OBJECTS | {("partner", f"p{n}"): (n, f"{n}".encode()) for n in range(1, base + 1)}
-    entries = [entry_of(9, step(n)) for n in range(base + 1, after + 1)]
-    return Compact(after, Kept(0, 1, 9, 0, after, base, base=Base(base, 9, base, objects), entries=entries))
+    entries = [encode_entry(9, step(n)) for n in range(base + 1, after + 1)]
+    return Compact(
+        after, PersistentState(0, 1, 9, 0, after, base, snapshot=Snapshot(base, 9, base, objects), entries=entries)
+    )
 
 
 def play(folder, confirmed: list[int]) -> None:
@@ -82,7 +84,7 @@
     return folder
 
 
-def found(folder) -> Kept:
+def found(folder) -> PersistentState:
     files = ControlFiles(folder, 0, 1, False)
     files.close()
     assert {p.name for p in folder.iterdir()} == {NAME, "lock"}
@@ -93,8 +95,8 @@
     confirmed: list[int] = []
     play(prepared(tmp_path), confirmed)
     kept = found(tmp_path)
-    assert confirmed == [2, 3, 5, 6, 8, 9] and kept.base.number == 3 and len(kept.base.objects) == 2_000
-    assert [e.step for e in kept.entries] == [step(n) for n in range(4, 10)] and kept.position == 9
+    assert confirmed == [2, 3, 5, 6, 8, 9] and kept.snapshot.version == 3 and len(kept.snapshot.objects) == 2_000
+    assert [e.change_set for e in kept.entries] == [step(n) for n in range(4, 10)] and kept.position == 9
 
 
 @pytest.mark.parametrize("after", [False, True])
@@ -114,16 +116,18 @@
             break
         kept = found(folder)
         told = max(confirmed, default=0)
-        assert kept.position >= told and kept.last >= told and kept.base.number in (0, 3)
-        assert [e.step for e in kept.entries] == [step(n) for n in range(kept.base.number + 1, kept.last + 1)]
-        folded += kept.base.number == 3
+        assert kept.position >= told and kept.last_index >= told and kept.snapshot.version in (0, 3)
+        assert [e.change_set for e in kept.entries] == [
+            step(n) for n in range(kept.snapshot.version + 1, kept.last_index + 1)
+        ]
+        folded += kept.snapshot.version == 3
     assert points > 20 and 3 <= folded < points
 
 
 def test_what_a_kill_left_half_made_is_taken_away(tmp_path):
     prepared(tmp_path)
-    (tmp_path / HALF_MADE).write_bytes(whole(fold(4, 3).records)[:1_000])
-    assert found(tmp_path).base.number == 0
+    (tmp_path / HALF_MADE).write_bytes(encode_file(fold(4, 3).records)[:1_000])
+    assert found(tmp_path).snapshot.version == 0
 
 
 def test_a_whole_that_comes_between_ends_a_fold(tmp_path):
@@ -139,7 +143,7 @@
     assert files.carry([Place(again)]) == (0, 21)
     files.close()
     kept = found(tmp_path)
-    assert (kept.base.number, kept.last, kept.position) == (21, 21, 21)
+    assert (kept.snapshot.version, kept.last_index, kept.position) == (21, 21, 21)
 
 
 def test_a_fold_of_a_process_that_ends_leaves_the_old_file(tmp_path):
@@ -147,9 +151,9 @@
     files.carry([write(1), asked])
     files.make(asked)
     files.close()
-    kept = read((tmp_path / NAME).read_bytes(), 0, 1)
-    assert kept.base.number == 0 and kept.last == 1
-    assert found(tmp_path).last == 1
+    kept = decode_file((tmp_path / NAME).read_bytes(), 0, 1)
+    assert kept.snapshot.version == 0 and kept.last_index == 1
+    assert found(tmp_path).last_index == 1
 
 
 def test_all_is_synced_before_it_takes_its_place(tmp_path, monkeypatch):
--- a/tests/rollout/test_control_fold_processes.py
+++ b/tests/rollout/test_control_fold_processes.py
@@ -9,12 +9,12 @@
 from rushweir.daemon.control_files import HALF_MADE
 from rushweir.rollout import storage
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES
-from rushweir.rollout.log import BOUNDS, Base, apply
+from rushweir.rollout.log import LOG_LIMITS, Snapshot, apply_change_set
 from tests.rollout.control_stage import Stage
 
 ALL = (0, 1, 2)
 NAMES = 14  # objects of a step, all of the largest size
-FULL = 2 * BOUNDS.bytes // (NAMES * MAX_OBJECT_BYTES) + 2  # steps that make a log full
+FULL = 2 * LOG_LIMITS.bytes // (NAMES * MAX_OBJECT_BYTES) + 2  # steps that make a log full
 
 
 async def change(s: Stage, k: int) -> int | None:
@@ -60,22 +60,22 @@
                 await killed_as_it_folds(s, k, confirmed)
         finally:
             await s.down()
-        whole = [storage.read(s.log(k).read_bytes(), k, 3) for k in ALL]
+        whole = [storage.decode_file(s.log(k).read_bytes(), k, 3) for k in ALL]
         last = max(confirmed)
         assert last >= FULL
-        steps = {e.number: e.step for kept in whole for e in kept.entries if e.step is not None}
-        objects = [objects_at(kept.base, steps, last) for kept in whole]
+        steps = {e.version: e.change_set for kept in whole for e in kept.entries if e.change_set is not None}
+        objects = [objects_at(kept.snapshot, steps, last) for kept in whole]
         assert objects[0] == objects[1] == objects[2] and len(objects[0]) == NAMES
         for kept in whole:  # none of the confirmed is left out, and none is another
-            numbers = {e.number for e in kept.entries if e.step is not None}
-            assert all(n <= kept.base.number or n in numbers for n in confirmed)
-            assert all(e.step is None or e.step == steps[e.number] for e in kept.entries)
+            numbers = {e.version for e in kept.entries if e.change_set is not None}
+            assert all(n <= kept.snapshot.version or n in numbers for n in confirmed)
+            assert all(e.change_set is None or e.change_set == steps[e.version] for e in kept.entries)
 
     asyncio.run(play())
 
 
-def objects_at(base: Base, steps: dict, last: int) -> dict:
+def objects_at(base: Snapshot, steps: dict, last: int) -> dict:
     objects = dict(base.objects)
-    for n in range(base.number + 1, last + 1):
-        apply(objects, steps[n])
+    for n in range(base.version + 1, last + 1):
+        apply_change_set(objects, steps[n])
     return objects
--- a/tests/rollout/test_control_watch.py
+++ b/tests/rollout/test_control_watch.py
@@ -100,7 +100,7 @@
         where, more = f"{url}/watch", {"subprotocols": ["jsonrpc"]}
         async with connect(where, **more) as one, connect(where, **more) as two:
             assert [await one.recv(), await two.recv()] == ["hello", "hello"]
-            assert (await step(process, 1)).number == 1
+            assert (await step(process, 1)).version == 1
             assert [await one.recv(), await two.recv()] == ["1", "1"]
             assert stub.current
             await two.send("bad")
@@ -119,7 +119,7 @@
     asyncio.run(played(tmp_path, scene))
 
     async def again(process, stub, url):
-        assert (await step(process, 2)).number == 2
+        assert (await step(process, 2)).version == 2
         # What it knew to be in force when it went; where it was too quick for that, what it found to be.
         assert stub.calls[0] in (("jumped", 1, {("partner", "p"): (1, b"1")}), ("committed", 1))
         await stub.until("committed", 2)
@@ -138,6 +138,6 @@
             await stranger.send("{}")
             with pytest.raises(ConnectionClosed):
                 await stranger.recv()
-        assert (await step(process, 1)).number == 1 and not process.lines
+        assert (await step(process, 1)).version == 1 and not process.lines
 
     asyncio.run(played(tmp_path, scene))
