--- a/rushweir/rollout/control.py
+++ b/rushweir/rollout/control.py
@@ -17,7 +17,6 @@
 
 import random
 from collections import Counter, deque
-from dataclasses import dataclass
 from typing import Any
 
 from rushweir.rollout.change_sets import Change, ChangeSet
@@ -25,7 +24,9 @@
 from rushweir.rollout.control_messages import HANDLERS
 from rushweir.rollout.control_peers import Peer
 from rushweir.rollout.control_proposals import Proposals
-from rushweir.rollout.election import FOLLOWER, LEADER, NOBODY, Election
+from rushweir.rollout.control_records import TIMING, PendingWrite, Timing
+from rushweir.rollout.control_status import status_row
+from rushweir.rollout.election import LEADER, NOBODY, Election
 from rushweir.rollout.follower import Follower
 from rushweir.rollout.log import LOG_LIMITS, Log, LogLimits, Snapshot, apply_change_set, decode_entry, object_size
 from rushweir.rollout.log_compaction import LogCompaction
@@ -35,27 +36,6 @@
 MOST_PROCESSES = 7
 
 
-@dataclass(frozen=True, slots=True)
-class Timing:
-    """In milliseconds of the process's own clock."""
-
-    heartbeat_ms: float = 200.0  # a leader is heard at least so often
-    election_timeout_ms: float = 1_500.0  # silence after which others stand, after this and up to twice of it
-
-
-TIMING = Timing()
-
-
-@dataclass(slots=True)
-class PendingWrite:
-    """One write that is not on disk yet."""
-
-    serial: int
-    position: int
-    last_index: int  # the log's end with it
-    term: int | None  # the term that it keeps, if it does
-
-
 class Control:
     """One of ``count`` control processes, the one with number ``me`` (from 0). Take the orders after each call."""
 
@@ -395,14 +375,4 @@
     def status(self, now: float) -> dict[str, Any]:
         self.now = now
         self._look_at_quorum()
-        role = self.election.role
-        return {
-            "me": self.me, "count": self.count, "role": "outdated" if self.outdated else role, "leader": self.leader,
-            "term": self.term, "number": self.version, "floor": self.snapshot_version, "objects": len(self.objects),
-            "bytes": self.object_bytes, "entries": len(self.log.entries), "waiting": len(self.proposals.pending),
-            # Whether a change can be made from here: a leader with a majority, or one that was heard lately.
-            "majority": not self.outdated and (role is LEADER or (role is FOLLOWER and self.leader != NOBODY and (
-                now - self.election.heard_at < self.timing.election_timeout_ms))),
-            "peers": [{"process": k, "match": p.match_index, "heard_ms": round(now - p.heard_at)}
-                      for k, p in self.peers.items()],
-        }  # fmt: skip
+        return status_row(self, now)
