--- a/rushweir/daemon/control_wires.py
+++ b/rushweir/daemon/control_wires.py
@@ -163,9 +163,9 @@
                     transport.write(order.data)
                     if transport.get_write_buffer_size() > MOST_UNSENT:
                         transport.abort()
-                case c.CloseConn() if transport is not None:
+                case c.CloseConnection() if transport is not None:
                     transport.close()
-                case c.AbortConn():
+                case c.AbortConnection():
                     self.links.pop(order.conn, None)
                     if (task := self.tasks.get(order.conn)) is not None:
                         task.cancel()
--- a/rushweir/daemon/traces.py
+++ b/rushweir/daemon/traces.py
@@ -10,7 +10,7 @@
 from opentelemetry import trace
 from opentelemetry.trace import SpanKind, StatusCode
 
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.watch.courses import Course
 from rushweir.watch.watch import GOOD
 
@@ -29,7 +29,7 @@
                 "rushweir.connection": course.conn, "rushweir.answer": course.kind, "rushweir.why": course.why,
             },
         )  # fmt: skip
-        if course.kind == Kind.FAILED:
+        if course.kind == AnswerKind.FAILED:
             span.set_status(StatusCode.ERROR, course.why)
         inside = trace.set_span_in_context(span)
         for a in course.attempts:
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -150,7 +150,7 @@
         self.now = now
         link = self.links.get(conn)
         if link is None:
-            self.out.append(c.AbortConn(conn))
+            self.out.append(c.AbortConnection(conn))
             return
         link.backend.dialing -= 1
         self._free(link)
@@ -326,9 +326,9 @@
         if isinstance(job, Probe):
             self.ended.append(c.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
         elif answer is None:
-            self.ended.append(c.Ended(job, result))
+            self.ended.append(c.AttemptEnded(job, result))
         else:
-            self.ended.append(c.Ended(job, result, answer.body, _used(answer), load=load))
+            self.ended.append(c.AttemptEnded(job, result, answer.body, _used(answer), load=load))
 
     def _probe_late(self, probe: Probe) -> None:
         self._give_up(probe, i.Result.TIMEOUT)  # nothing, if it ended
@@ -344,7 +344,7 @@
     def _cut(self, link: Link) -> None:
         """End a connection from this side, at once."""
         if link.state is not GONE:
-            self.out.append(c.AbortConn(link.conn))
+            self.out.append(c.AbortConnection(link.conn))
             self._drop(link)
 
     def _drop(self, link: Link) -> None:
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -19,7 +19,7 @@
 from rushweir.edge.http import MOST_QUEUED, TOO_MANY, Malformed, Message, RequestReader
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress.asks import Ask, Partner
-from rushweir.ingress.commands import Answer, Kind
+from rushweir.ingress.commands import Answer, AnswerKind
 
 READY = b"/_health"
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -227,9 +227,9 @@
         if answer.ref != self.current:
             return
         self._over()
-        if answer.kind == Kind.SERVED:
+        if answer.kind == AnswerKind.SERVED:
             self._write(200, answer.body)
-        elif answer.kind == Kind.REFUSED:
+        elif answer.kind == AnswerKind.REFUSED:
             wait = b"Retry-After: %.3f\r\n" % (answer.retry_after_ms / 1000) if answer.retry_after_ms > 0 else b""
             self._write(429 if answer.why in QUOTA else 503, answer.why.encode(), wait)
         else:
--- a/rushweir/edge/members.py
+++ b/rushweir/edge/members.py
@@ -61,9 +61,9 @@
         self.pause, self.stopped, self.now = PAUSE_MS[0], False, 0.0
         self.behind: float | None = None  # since when answers are older than what is held
         self.reader = AnswerReader(MOST_LIST)
-        self.out: list[c.Order] = []
+        self.out: list[c.ShellCommand] = []
         self.updates: list[Update] = []
-        self.remarks: list[c.Remark] = []
+        self.remarks: list[c.LogEvent] = []
         self.counts: Counter[str] = Counter()
 
     def known(self, page: Any) -> Update:
@@ -103,7 +103,7 @@
     def dialed(self, now: float, conn: int) -> None:
         self.now = now
         if conn != self.conn or self.state is not DIALING:
-            self.out.append(c.AbortConn(conn))
+            self.out.append(c.AbortConnection(conn))
             return
         self.reader = AnswerReader(MOST_LIST)
         self._ask()
@@ -127,7 +127,7 @@
                 raise UpdateError(f"status {answer.status}")
             self._take(orjson.loads(answer.body))
         except (Malformed, UpdateError, orjson.JSONDecodeError) as problem:
-            self.remarks.append(c.Remark("warning", "list_answer_refused", {"why": str(problem)[:300]}))
+            self.remarks.append(c.LogEvent("warning", "list_answer_refused", {"why": str(problem)[:300]}))
             self.counts["refused"] += 1
             self._lost("unreadable")
             return
@@ -173,7 +173,7 @@
 
     def _leave(self) -> None:
         if self.state is not AWAY:
-            self.out.append(c.AbortConn(self.conn))
+            self.out.append(c.AbortConnection(self.conn))
             self.state = AWAY
 
     def _lost(self, why: str) -> None:
@@ -248,7 +248,7 @@
 
     def _odd(self, why: str, name: str = "") -> None:
         self.counts["odd_entries"] += 1
-        self.remarks.append(c.Remark("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
+        self.remarks.append(c.LogEvent("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
 
     def _entry(self, entry: Any, where: str) -> tuple[i.Server | None, Endpoint]:
         """One entry. What can't be read is none that asks for new work: its backend is barred, by its id, and the
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -34,7 +34,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock, self.limiter = clock, Limiter(LINES_PER_S, LINES_AT_ONCE)
 
-    def remark(self, remark: c.Remark) -> None:
+    def remark(self, remark: c.LogEvent) -> None:
         now = self.clock()
         may, left_out = self.limiter.may(now, remark.cause)
         if may:
@@ -85,7 +85,7 @@
             self.signals.detach()
 
     def trace(self, trace: Trace) -> None:
-        self.log.remark(c.Remark("debug", "trace", trace.line(self.clock())))
+        self.log.remark(c.LogEvent("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
@@ -111,7 +111,7 @@
         await asyncio.sleep(LAST_S)
         longest = max(k.deadline_ms for k in core.setup.settings.classes)
         answered = await shell.stop(min(longest, KILL_MS) - BEFORE_MS)
-        self.log.remark(c.Remark("info", "stopped", {"answered": answered, **core.figures()}))
+        self.log.remark(c.LogEvent("info", "stopped", {"answered": answered, **core.figures()}))
 
 
 def run(signals: Signals) -> int:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -65,7 +65,7 @@
         if core.peers is None or core.peers.numbers != {a: k for k, a in enumerate(self.peers)}:
             # A number means another ingress now, or none: a word from the old one's address would count as its.
             core.peers = core.parts.peers = self._peers()
-            core.orders.append(c.Peers(dict(enumerate(self.peers))))
+            core.orders.append(c.SetPeerAddresses(dict(enumerate(self.peers))))
         core.list.move(core.now, self.discovery)
 
 
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -27,7 +27,7 @@
 from rushweir.fronts.messages import BatchSlot, FrontSettings, Ref, is_utf8, number
 from rushweir.fronts.states import CLOSING, HEAD, HTTP, OPEN
 from rushweir.ingress.asks import Ask, Partner
-from rushweir.ingress.commands import Answer, Kind
+from rushweir.ingress.commands import Answer, AnswerKind
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
 
@@ -296,13 +296,13 @@
         """Word the one final answer of a request."""
         ref: Ref = answer.ref
         self.open_ids.discard(ref.id)
-        if answer.kind == Kind.SERVED:
+        if answer.kind == AnswerKind.SERVED:
             body = answer.body
             if body is not None and body[0] == "error":
                 text = rpc.error(ref.id, body[1].get("code"), body[1].get("message", ""), body[1].get("data"))
             else:
                 text = rpc.result(ref.id, body[1] if body is not None else None)
-        elif answer.kind == Kind.REFUSED:
+        elif answer.kind == AnswerKind.REFUSED:
             unknown = answer.why == "unknown_class"
             data = {
                 "reason": answer.why, "repeat": "harmless", "retry_after_ms": math.ceil(answer.retry_after_ms),
--- a/rushweir/ingress/clients.py
+++ b/rushweir/ingress/clients.py
@@ -66,7 +66,7 @@
         if client.ended:
             client.drained += len(data)
             if client.drained > MOST_DRAINED:
-                self.orders.append(c.AbortConn(client.conn))
+                self.orders.append(c.AbortConnection(client.conn))
             return
         was_head = client.front.state is HEAD
         client.heard += 1
@@ -113,7 +113,7 @@
             oldest.ended = True
             oldest.front.receive_eof()
             del self.open[oldest.conn]
-            self.orders.append(c.AbortConn(oldest.conn))
+            self.orders.append(c.AbortConnection(oldest.conn))
 
     def ended(self, conn: int) -> bool:
         """The other side ended its writing, or the connection broke; whether it was a client's."""
@@ -124,7 +124,7 @@
         client.front.receive_eof()
         if left := self.engine.client_left(self.core.now, conn):
             self.counts["left_open"] += left
-        self.orders.append(c.CloseConn(conn, 200.0))
+        self.orders.append(c.CloseConnection(conn, 200.0))
         return True
 
     def congested(self, client: Client, size: int) -> None:
@@ -157,7 +157,7 @@
         self._flush(client)
         if not client.ended:
             client.ended = True
-            self.orders.append(c.CloseConn(client.conn, 1000.0))
+            self.orders.append(c.CloseConnection(client.conn, 1000.0))
         self.engine.client_left(self.core.now, client.conn)
 
     def _head_late(self, client: Client) -> None:
@@ -210,7 +210,7 @@
             self.orders.append(c.Write(client.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and not client.ended:
             client.ended = True
-            self.orders.append(c.CloseConn(client.conn, 1000.0))
+            self.orders.append(c.CloseConnection(client.conn, 1000.0))
             self.engine.client_left(self.core.now, client.conn)
 
     def answer(self, answer: c.Answer) -> None:
--- a/rushweir/ingress/commands.py
+++ b/rushweir/ingress/commands.py
@@ -56,14 +56,14 @@
 
     conn: int
     ref: Any
-    kind: Kind
+    kind: AnswerKind
     body: Any = None  # the node's result, or its error object
     why: str = ""
     retry_after_ms: float = 0.0
     rid: str = ""  # by which operators find the request; none where it was not taken
 
 
-class Kind:
+class AnswerKind:
     """Kinds of final answers. (Plain text instead of an Enum: compared on each answer, and logged.)"""
 
     SERVED = "served"
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendPeerMessage:
     to: int | None
     text: str
 
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Remark:
+class LogEvent:
     """A line for the log. ``cause`` is fixed text, so that lines of one cause can be counted and limited."""
 
     level: str
@@ -112,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptEnded:
     """How an attempt ended, for the engine."""
 
     attempt: Attempt
@@ -151,7 +151,7 @@
 
 
 @dataclass(slots=True)
-class CloseConn:
+class CloseConnection:
     """Write out what is queued, then end the connection; within ``within_ms``, else abort it."""
 
     conn: int
@@ -159,12 +159,12 @@
 
 
 @dataclass(slots=True)
-class AbortConn:
+class AbortConnection:
     conn: int
 
 
 @dataclass(slots=True)
-class Datagram:
+class SendPeerDatagram:
     peer: int
     data: bytes
 
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class SendTo:
+class SendDatagram:
     """A datagram to where a member of the fleet said that it is."""
 
     address: tuple[str, int]
@@ -192,7 +192,7 @@
 
 
 @dataclass(slots=True)
-class Peers:
+class SetPeerAddresses:
     """Where the ingresses are from now on, by their numbers."""
 
     addresses: dict[int, tuple[str, int]]
@@ -205,18 +205,18 @@
     why: str
 
 
-Command = (
-    SendAttempt | CancelAttempt | WithdrawAttempt | ExpireAttempt | Answer | TellPeer | CallCounter | ProbeNode
-    | WatchList | FetchList | Remark
+EngineCommand = (
+    SendAttempt | CancelAttempt | WithdrawAttempt | ExpireAttempt | Answer | SendPeerMessage | CallCounter | ProbeNode
+    | WatchList | FetchList | LogEvent
 )  # fmt: skip
-Order = (
-    Dial | Write | CloseConn | AbortConn | Datagram | SaveList | SendTo | SaveFile | Peers
-    | EndProcess | Remark
+ShellCommand = (
+    Dial | Write | CloseConnection | AbortConnection | SendPeerDatagram | SaveList | SendDatagram | SaveFile
+    | SetPeerAddresses | EndProcess | LogEvent
 )  # fmt: skip
 
 __all__ = [
-    "AbortConn", "Answer", "Attempt", "CallCounter", "CancelAttempt", "CloseConn", "Command", "Datagram",
-    "Dial", "EndProcess", "Ended", "ExpireAttempt", "FetchList", "Kind", "Order", "Peers",
-    "ProbeEnded", "ProbeNode", "Remark", "SaveFile", "SaveList", "SendAttempt", "SendTo", "TellPeer", "WatchList",
-    "WithdrawAttempt", "Write",
+    "AbortConnection", "Answer", "AnswerKind", "Attempt", "AttemptEnded", "CallCounter", "CancelAttempt",
+    "CloseConnection", "Dial", "EndProcess", "EngineCommand", "ExpireAttempt", "FetchList", "LogEvent", "ProbeEnded",
+    "ProbeNode", "SaveFile", "SaveList", "SendAttempt", "SendDatagram", "SendPeerDatagram", "SendPeerMessage",
+    "SetPeerAddresses", "ShellCommand", "WatchList", "WithdrawAttempt", "Write",
 ]  # fmt: skip
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -38,7 +38,7 @@
         aims = {k.name: k.aim_ms for k in s.classes}
         self.watch = Watch(now, setup.partners(), aims, setup.sample, setup.courses)
         self.engine = Engine(s, policy, now, margin_ms=setup.margin_ms, boot=setup.boot, watch=self.watch)
-        self.orders: deque[c.Order] = deque()
+        self.orders: deque[c.ShellCommand] = deque()
         self.ups: dict[int, Any] = {}  # who handles a connection that this side opened
         self.next_conn = 0
         self.counts: Counter[str] = Counter()
@@ -55,12 +55,12 @@
             c.WithdrawAttempt: lambda x: self.pool.withdraw(self.now, x.attempt),
             c.ExpireAttempt: lambda x: self.pool.expire(self.now, x.attempt),
             c.Answer: self.clients.answer,
-            c.TellPeer: self._tell_peer,
+            c.SendPeerMessage: self._tell_peer,
             c.CallCounter: self._call_counter,
             c.ProbeNode: lambda x: self.pool.probe(self.now, x.server),
             c.WatchList: lambda x: self.list.watch(self.now, x.on) if self.list else self._no_list(),
             c.FetchList: lambda x: self.list.fetch(self.now) if self.list else self._no_list(),
-            c.Remark: self.remark,
+            c.LogEvent: self.remark,
         }
 
     # --- time ------------------------------------------------------------------------------------
@@ -114,7 +114,7 @@
         if (level := self.overload.level) != self.level:
             self.level, was = level, self.level
             fields = {"level": level, "delay_ms": round(self.overload.delay_ms)}
-            self.remark(c.Remark("warning" if level > was else "info", "overload", fields))
+            self.remark(c.LogEvent("warning" if level > was else "info", "overload", fields))
         self.engine.at(self.now + BEAT_MS, self._beat, self.now + BEAT_MS)
 
     def _value_classes(self) -> None:
@@ -198,7 +198,7 @@
                 self.engine.peer_message(now, *told)
                 self._run()
 
-    def _tell_peer(self, command: c.TellPeer) -> None:
+    def _tell_peer(self, command: c.SendPeerMessage) -> None:
         if self.peers is None:
             self.counts["no_peers"] += 1
             return
@@ -207,7 +207,7 @@
             if to != me and 0 <= to < count:
                 data = self.peers.pack(self.now, to, command.text)
                 if data is not None:
-                    self.orders.append(c.Datagram(to, data))
+                    self.orders.append(c.SendPeerDatagram(to, data))
                     if self.fleet is not None:
                         self.fleet.fleet.mail()
 
@@ -251,14 +251,14 @@
         self.nodes.put(Update(i.Scope.FULL, -1, tuple(self.nodes.listed.values())))
         self._run()
 
-    def remark(self, remark: c.Remark) -> None:
+    def remark(self, remark: c.LogEvent) -> None:
         self.watch.event(self.now, remark.level, remark.cause, remark.fields)
         self.orders.append(remark)
 
     def tell(self, now: float, level: str, cause: str, **fields: Any) -> None:
         """An event of the process around this, for the log and for whoever looks."""
         self.now = now
-        self.remark(c.Remark(level, cause, fields))
+        self.remark(c.LogEvent(level, cause, fields))
 
     # --- inside ----------------------------------------------------------------------------------
 
@@ -272,7 +272,7 @@
             if pool.ended:
                 ended, pool.ended = pool.ended, []
                 for end in ended:
-                    if isinstance(end, c.Ended):
+                    if isinstance(end, c.AttemptEnded):
                         engine.outcome(
                             self.now, end.attempt, end.result, end.body, used=end.used, cost=end.cost, load=end.load
                         )
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -44,7 +44,7 @@
 
     def attempted(self, now: float, attempt: c.Attempt, result: str) -> None: ...
 
-    def over(self, now: float, entry: Entry) -> c.Remark | None: ...
+    def over(self, now: float, entry: Entry) -> c.LogEvent | None: ...
 
 
 class Engine:
@@ -66,7 +66,7 @@
         self.margin, self.boot, self.watch = margin_ms, boot, watch
         self.classes = {cls.name: cls for cls in settings.classes}
         self.ledger = Ledger(settings.limits.max_open)
-        self.out: deque[c.Command] = deque()
+        self.out: deque[c.EngineCommand] = deque()
         self.timers: list[tuple[float, int, Callable[..., None], Any]] = []
         self.serial = 0
         self.counts: Counter[str] = Counter()
@@ -81,12 +81,12 @@
             i.Fail: self._fail,
             i.Cancel: self._cancel,
             i.SetTimer: self._set_timer,
-            i.Tell: lambda a: self.out.append(c.TellPeer(a.to, a.text)),
+            i.Tell: lambda a: self.out.append(c.SendPeerMessage(a.to, a.text)),
             i.Count: lambda a: self.out.append(c.CallCounter(a.name, a.amount, a.forget_after_ms)),
             i.Probe: lambda a: self.out.append(c.ProbeNode(a.server)),
             i.Watch: lambda a: self.out.append(c.WatchList(a.on)),
             i.Fetch: lambda a: self.out.append(c.FetchList()),
-            i.Log: lambda a: self.out.append(c.Remark("info", "policy", {"text": a.text[:500]})),
+            i.Log: lambda a: self.out.append(c.LogEvent("info", "policy", {"text": a.text[:500]})),
         }
 
     # --- time ------------------------------------------------------------------------------------
@@ -209,7 +209,7 @@
         if entry.state is DONE:
             self._over(entry)
         if result is i.Result.OK and entry.state is not DONE:
-            self._answer(entry, c.Kind.SERVED, body)
+            self._answer(entry, c.AnswerKind.SERVED, body)
         event = i.Outcome(
             attempt.rid, attempt.number, attempt.server, result, now - attempt.sent_ms, entry.state is DONE,
             used, cost, load,
@@ -267,7 +267,7 @@
         last = traceback.extract_tb(error.__traceback__)[-1:]
         place = f"{last[0].name}:{last[0].lineno}" if last else ""
         fields = {"event": where, "error": f"{type(error).__name__}: {error}"[:300], "at": place}
-        self.out.append(c.Remark("error", "policy_fault", fields))
+        self.out.append(c.LogEvent("error", "policy_fault", fields))
 
     def _send(self, action: i.Send) -> None:
         entry = self.ledger.entries.get(action.id)
@@ -304,12 +304,12 @@
         entry = self._open_entry(action.id, "refuse")
         if entry is not None:
             self.refusals[action.why or "policy"] += 1
-            self._answer(entry, c.Kind.REFUSED, why=action.why or "policy", retry=action.stay_away_ms)
+            self._answer(entry, c.AnswerKind.REFUSED, why=action.why or "policy", retry=action.stay_away_ms)
 
     def _fail(self, action: i.Fail) -> None:
         entry = self._open_entry(action.id, "fail")
         if entry is not None:
-            self._answer(entry, c.Kind.FAILED, why="attempts")
+            self._answer(entry, c.AnswerKind.FAILED, why="attempts")
 
     def _cancel(self, action: i.Cancel) -> None:
         entry = self.ledger.entries.get(action.id)
@@ -335,7 +335,7 @@
 
     def _odd(self, what: str, rid: str) -> None:
         self.counts[f"odd_{what}"] += 1
-        self.out.append(c.Remark("warning", "odd_action", {"action": what, "request": rid}))
+        self.out.append(c.LogEvent("warning", "odd_action", {"action": what, "request": rid}))
 
     # --- answers ---------------------------------------------------------------------------------
 
@@ -360,16 +360,16 @@
         """Answer a request that is not taken: it never comes before the policy."""
         self.now = now
         self.watch.turned_down(self.now, partner.name, ask.units, why)
-        self.counts[c.Kind.REFUSED] += 1
+        self.counts[c.AnswerKind.REFUSED] += 1
         self.refusals[why] += 1
-        self.out.append(c.Answer(conn, ref, c.Kind.REFUSED, None, why, retry))
+        self.out.append(c.Answer(conn, ref, c.AnswerKind.REFUSED, None, why, retry))
 
     def _answer_by_facts(self, entry: Entry, why: str) -> None:
         """The answer where the policy gave none: a refusal is true only if no attempt can have run."""
         ran = entry.may_have_run or any(not a.ended for a in entry.attempts)
         if not ran:
             self.refusals[why] += 1
-        self._answer(entry, c.Kind.FAILED if ran else c.Kind.REFUSED, why=why)
+        self._answer(entry, c.AnswerKind.FAILED if ran else c.AnswerKind.REFUSED, why=why)
 
     def _expire(self, attempt: c.Attempt) -> None:
         if not attempt.ended:
--- a/rushweir/ingress/listed.py
+++ b/rushweir/ingress/listed.py
@@ -29,7 +29,7 @@
         try:
             servers, self.by_hand = kept.load(last_list)
         except UpdateError as problem:
-            self.core.remark(c.Remark("error", "kept_list_refused", {"why": str(problem)}))
+            self.core.remark(c.LogEvent("error", "kept_list_refused", {"why": str(problem)}))
         else:
             self.take(Update(i.Scope.CACHED, -1, servers))
 
@@ -71,7 +71,7 @@
         if (address in self.by_hand) is not on:
             (self.by_hand.add if on else self.by_hand.discard)(address)
             self.core.counts["drained_by_hand" if on else "readmitted_by_hand"] += 1
-            self.core.remark(c.Remark("info", "drained_by_hand" if on else "readmitted_by_hand", {"node": address}))
+            self.core.remark(c.LogEvent("info", "drained_by_hand" if on else "readmitted_by_hand", {"node": address}))
             self.put(Update(i.Scope.DELTA, -1, (server,)))
             self._keep()
         return True
@@ -90,5 +90,5 @@
             return update
         self.core.counts["strange_nodes"] += len(strange)
         fields = {"count": len(strange), "first": strange[0].address}
-        self.core.remark(c.Remark("error", "node_outside_networks", fields))
+        self.core.remark(c.LogEvent("error", "node_outside_networks", fields))
         return Update(update.scope, update.version, tuple(known))
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -69,17 +69,17 @@
             order = orders.popleft()
             match order:
                 case o.SendTo():
-                    core.orders.append(c.SendTo(order.address, order.data))
+                    core.orders.append(c.SendDatagram(order.address, order.data))
                 case o.KeepFile():
                     core.orders.append(c.SaveFile(FILE, order.serial, order.data))
                 case o.Note():
-                    core.remark(c.Remark(order.level, order.cause, order.fields))
+                    core.remark(c.LogEvent(order.level, order.cause, order.fields))
                 case o.SeatChanged():
-                    core.remark(c.Remark("info", "number", {"number": order.number}))
+                    core.remark(c.LogEvent("info", "number", {"number": order.number}))
                 case o.ViewChanged():
                     self._peers(core)
                     self._present(core)
-                    core.remark(c.Remark("info", "view", {"view": self.fleet.view.number}))
+                    core.remark(c.LogEvent("info", "view", {"view": self.fleet.view.number}))
 
     # --- budgets ---------------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
                         "lent_ms": 0.0 if x.kept else round(x.lent_ms, 1), "owned_rate": x.owned.rate,
                         "owned_burst": x.owned.burst,
                     }  # fmt: skip
-                    core.orders.append(c.Remark("info", "part", fields))
+                    core.orders.append(c.LogEvent("info", "part", fields))
 
     def _settings(self, settings: i.Settings) -> None:
         self.ceilings = {p.name: p for p in settings.plans if p.ceiling_rate}
@@ -132,7 +132,7 @@
 
     def _peers(self, core: Core) -> None:
         seats = self.fleet.view.seats
-        core.orders.append(c.Peers({n: s.address for n, s in seats.items() if n != self.number}))
+        core.orders.append(c.SetPeerAddresses({n: s.address for n, s in seats.items() if n != self.number}))
 
     def _look(self, core: Core) -> None:
         """Whether the number is still this process's own; and what it did, for the others."""
@@ -140,7 +140,7 @@
         if not self.fleet.leaving and self.given and self.fleet.seat() != self.number and not self.ended:
             # It may be another's by now: two that work under one number would each spend its parts.
             self.ended = True
-            core.remark(c.Remark("error", "number_lost", {"number": self.number}))
+            core.remark(c.LogEvent("error", "number_lost", {"number": self.number}))
             core.orders.append(c.EndProcess(f"number {self.number} is not surely its own any more"))
         pace = max(TELL_MS, self.fleet.members.count() / TOLD_PER_S * 1000)
         if core.now - self.told_at >= pace and not self.fleet.leaving:
--- a/rushweir/ingress/pool.py
+++ b/rushweir/ingress/pool.py
@@ -16,8 +16,8 @@
     def __init__(self, new_conn: Callable[[Any], int], at: Callable[[float, Callable[..., None], Any], None]) -> None:
         """``new_conn`` names a connection and registers its handler; ``at`` sets a timer."""
         self.new_conn, self.at = new_conn, at
-        self.out: list[c.Order] = []
-        self.ended: list[c.Ended | c.ProbeEnded] = []
+        self.out: list[c.ShellCommand] = []
+        self.ended: list[c.AttemptEnded | c.ProbeEnded] = []
         self.counts: Counter[str] = Counter()
         self.now = 0.0
         # Whether somebody still waits for an attempt: it may have waited here for a while since it was sent.
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -61,7 +61,7 @@
         peers: dict[int, tuple[str, int]] | None = None,
         folder: Path | None = None,
         end: Callable[[str], None] | None = None,
-        remark: Callable[[c.Remark], None] | None = None,
+        remark: Callable[[c.LogEvent], None] | None = None,
         high_water: int = HIGH_WATER,
         accept_at_once: int = BACKLOG,
     ) -> None:
@@ -89,15 +89,15 @@
         self.carry = {
             c.Write: self._write,
             c.Dial: self._dial,
-            c.CloseConn: self._close,
-            c.AbortConn: self._abort,
-            c.Datagram: self._datagram,
+            c.CloseConnection: self._close,
+            c.AbortConnection: self._abort,
+            c.SendPeerDatagram: self._datagram,
             c.SaveList: self._save,
-            c.SendTo: self._send_to,
+            c.SendDatagram: self._send_to,
             c.SaveFile: self._save_file,
-            c.Peers: self._peers,
+            c.SetPeerAddresses: self._peers,
             c.EndProcess: lambda order: end(order.why) if end is not None else None,
-            c.Remark: remark or (lambda _: None),
+            c.LogEvent: remark or (lambda _: None),
         }
 
     # --- start and end ---------------------------------------------------------------------------
@@ -279,7 +279,7 @@
             self.core.dial_failed(self.clock(), conn)
             self.carry_out()
 
-    def _close(self, order: c.CloseConn) -> None:
+    def _close(self, order: c.CloseConnection) -> None:
         """End a connection so that its last bytes arrive: closing a socket with unread input resets it, and
         the peer would lose the close frame. So the writing side ends, what still comes is thrown away, and
         after a while it is over in any case."""
@@ -299,7 +299,7 @@
         else:
             transport.abort()
 
-    def _abort(self, order: c.AbortConn) -> None:
+    def _abort(self, order: c.AbortConnection) -> None:
         if (dial := self.dials.get(order.conn)) is not None:
             dial.cancel()
         transport = self.transports.pop(order.conn, None)
@@ -310,16 +310,16 @@
                 transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             transport.abort()
 
-    def _datagram(self, order: c.Datagram) -> None:
+    def _datagram(self, order: c.SendPeerDatagram) -> None:
         address = self.peers.get(order.peer)
         if self.udp is not None and address is not None and not self.udp.is_closing():
             self.udp.sendto(order.data, address)
 
-    def _send_to(self, order: c.SendTo) -> None:
+    def _send_to(self, order: c.SendDatagram) -> None:
         if self.udp is not None and not self.udp.is_closing():
             self.udp.sendto(order.data, order.address)
 
-    def _peers(self, order: c.Peers) -> None:
+    def _peers(self, order: c.SetPeerAddresses) -> None:
         self.peers = order.addresses
 
     def _save_file(self, order: c.SaveFile) -> None:
--- a/rushweir/lab/scale/hollow.py
+++ b/rushweir/lab/scale/hollow.py
@@ -212,7 +212,7 @@
         self.requests = Requests(self.rng, self.scene.tenants_at(number, self.tail), self.scene.route_table())
         self._moved()
 
-    def _remark(self, remark: c.Remark) -> None:
+    def _remark(self, remark: c.LogEvent) -> None:
         if remark.cause == "view":
             self._moved()
 
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -77,11 +77,11 @@
     def _done(self, attempt: c.Attempt) -> None:
         if self.open.pop(id(attempt), None) is not None:
             lost = self.rng.random() < LOST
-            self.ended.append(c.Ended(attempt, i.Result.RESET if lost else i.Result.OK, None if lost else {}))
+            self.ended.append(c.AttemptEnded(attempt, i.Result.RESET if lost else i.Result.OK, None if lost else {}))
 
     def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
         if self.open.pop(id(attempt), None) is not None:
-            self.ended.append(c.Ended(attempt, result))
+            self.ended.append(c.AttemptEnded(attempt, result))
 
     def _held_back(self, attempt: c.Attempt) -> bool:
         return False
--- a/rushweir/link/upstream.py
+++ b/rushweir/link/upstream.py
@@ -56,7 +56,7 @@
         self.max_message, self.deflate = max_message, deflate
         self.state, self.conn, self.writable, self.stopped = AWAY, 0, True, False
         self.messages: Messages | None = None
-        self.out: list[c.Order] = []
+        self.out: list[c.ShellCommand] = []
         self.now, self.serial, self.quiet, self.losses = 0.0, 0, 0, 0
 
     def start(self, now: float) -> None:
@@ -160,7 +160,7 @@
             self._lost()
 
     def _lost(self) -> None:
-        self.out.append(c.AbortConn(self.conn))
+        self.out.append(c.AbortConnection(self.conn))
         was_open, self.state, self.messages = self.state is OPEN, AWAY, None
         self.losses += 1
         self.owner.link_lost(was_open)
@@ -189,4 +189,4 @@
             if writes:
                 self.out.append(c.Write(self.conn, b"".join(writes)))
             if end:
-                self.out.append(c.CloseConn(self.conn, 100.0))
+                self.out.append(c.CloseConnection(self.conn, 100.0))
--- a/rushweir/logs/log.py
+++ b/rushweir/logs/log.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from rushweir.ingress.commands import Remark
+from rushweir.ingress.commands import LogEvent
 from rushweir.logs.decisions import Limiter
 from rushweir.logs.sink import Sink
 
@@ -71,7 +71,7 @@
             more = {"left_out": left_out} if left_out else {}
             getattr(self.logger, level)(cause, **fields, **more)
 
-    def remark(self, remark: Remark) -> None:
+    def remark(self, remark: LogEvent) -> None:
         # Overload tells its level, and a fault its event: under the line's own names they broke the line off.
         fields = {f"{k}_" if k in TAKEN else k: v for k, v in remark.fields.items()}
         self.event(remark.level, remark.cause, **fields)
--- a/rushweir/nodes/answers.py
+++ b/rushweir/nodes/answers.py
@@ -9,22 +9,22 @@
 from rushweir.link import rpc
 
 
-def ended(attempt: c.Attempt, reply: rpc.Reply) -> c.Ended:
+def ended(attempt: c.Attempt, reply: rpc.Reply) -> c.AttemptEnded:
     """What a node's answer says of its attempt."""
     if reply.error is None:
         value = reply.result if isinstance(reply.result, dict) else {"data": reply.result}
-        return c.Ended(
+        return c.AttemptEnded(
             attempt, i.Result.OK, ("result", value.get("data")), _count(value.get("used")),
             _amount(value.get("cost")), load(value.get("load")),
         )  # fmt: skip
     code = reply.error["code"]
     if code == rpc.NODE_FULL:
-        return c.Ended(attempt, i.Result.FULL, used=_told(reply.error, "used"))
+        return c.AttemptEnded(attempt, i.Result.FULL, used=_told(reply.error, "used"))
     if code in rpc.SERVER_RANGE or code in (rpc.INTERNAL_ERROR, rpc.PARSE_ERROR, rpc.INVALID_REQUEST):
-        return c.Ended(attempt, i.Result.ERROR, used=_told(reply.error, "used"))
+        return c.AttemptEnded(attempt, i.Result.ERROR, used=_told(reply.error, "used"))
     # Any other code is the application's own answer ("no such ride"): the node did its work, and the client
     # is told what it said.
-    return c.Ended(attempt, i.Result.OK, ("error", reply.error))
+    return c.AttemptEnded(attempt, i.Result.OK, ("error", reply.error))
 
 
 def _told(error: dict[str, Any], name: str) -> int:
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -292,7 +292,7 @@
 
     def _end(self, attempt: c.Attempt, result: i.Result) -> None:
         self.where.pop(id(attempt), None)
-        self.ended.append(c.Ended(attempt, result))
+        self.ended.append(c.AttemptEnded(attempt, result))
 
     def _gone(self, link: Link, abort: bool = False) -> None:
         """A connection is over. What waited on it never ran; what was handed over may have."""
@@ -302,7 +302,7 @@
         self.links.pop(link.conn, None)
         if link in link.node.links:
             link.node.links.remove(link)
-        self.out.append(c.AbortConn(link.conn) if abort else c.CloseConn(link.conn, 100.0))
+        self.out.append(c.AbortConnection(link.conn) if abort else c.CloseConnection(link.conn, 100.0))
         for attempt in list(link.waiting.values()):
             self._end(attempt, i.Result.CONNECT_FAILED)
         for attempt in list(link.streams.values()):
@@ -319,7 +319,7 @@
         if writes:
             self.out.append(c.Write(link.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and link.state is not GONE:
-            self.out.append(c.CloseConn(link.conn, 100.0))
+            self.out.append(c.CloseConnection(link.conn, 100.0))
 
     def _probe_late(self, what: tuple[Link, int]) -> None:
         link, number = what
--- a/rushweir/watch/courses.py
+++ b/rushweir/watch/courses.py
@@ -12,7 +12,7 @@
 from typing import Any
 from zlib import crc32
 
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
 
     def wants(self, rid: str, kind: str, late: bool) -> int | None:
         """The ring that a request belongs to: 0 where it went wrong, 1 by sample, None if it is not kept."""
-        if late or kind == Kind.FAILED:
+        if late or kind == AnswerKind.FAILED:
             return 0
         return 1 if crc32(rid.encode()) < self.bar else None
 
--- a/rushweir/watch/history.py
+++ b/rushweir/watch/history.py
@@ -7,12 +7,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 
 SLOT_MS = 10_000.0
 SLOTS = 360
 MOST_REASONS = 32  # different reasons in a slot; the rest count as "other"
-KINDS = (Kind.SERVED, Kind.REFUSED, Kind.FAILED, "left")
+KINDS = (AnswerKind.SERVED, AnswerKind.REFUSED, AnswerKind.FAILED, "left")
 
 
 class History:
@@ -31,9 +31,9 @@
         if now - self.began >= SLOT_MS:
             self.turn(now)
         self.kinds[kind] += 1
-        if kind == Kind.SERVED:
+        if kind == AnswerKind.SERVED:
             self.times.record_value(min(60_000, max(1, round(took_ms))))
-        elif kind == Kind.REFUSED:
+        elif kind == AnswerKind.REFUSED:
             self.reasons[why if why in self.reasons or len(self.reasons) < MOST_REASONS else "other"] += 1
 
     def turn(self, now: float) -> None:
@@ -50,7 +50,7 @@
                 self.slots.clear()
 
     def _slot(self) -> dict[str, Any]:
-        served = self.kinds[Kind.SERVED]
+        served = self.kinds[AnswerKind.SERVED]
         return {
             "at": self.began, **{k: self.kinds[k] for k in KINDS}, "reasons": dict(self.reasons),
             "p50_ms": self.times.get_value_at_percentile(50) if served else None,
--- a/rushweir/watch/usage.py
+++ b/rushweir/watch/usage.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
 
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.watch.heaviest import Heaviest
 
 COLUMNS = ("served", "refused", "failed", "left")
-COLUMN = {Kind.SERVED: 0, Kind.REFUSED: 1, Kind.FAILED: 2, "left": 3}
+COLUMN = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2, "left": 3}
 SKETCH = 1024  # names
 HALVE_MS = 60_000.0
 MOST_PAGE = 500
@@ -88,7 +88,7 @@
         k = self.index.get(partner)
         if k is not None:
             self.columns[COLUMN[kind]][k] += 1
-            if kind == Kind.SERVED:
+            if kind == AnswerKind.SERVED:
                 self.units[k] += units
         self.heaviest.add(partner)
         if now - self.halved >= HALVE_MS:
--- a/rushweir/watch/watch.py
+++ b/rushweir/watch/watch.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from rushweir.ingress.commands import Attempt, Kind, Remark
+from rushweir.ingress.commands import AnswerKind, Attempt, LogEvent
 from rushweir.ingress.ledger import Entry
 from rushweir.watch.courses import Course, Courses
 from rushweir.watch.history import KINDS, History
@@ -77,18 +77,18 @@
         counts = self.classes.get(entry.cls)
         if counts is not None:
             counts.kinds[kind] += 1
-            if kind == Kind.SERVED:
+            if kind == AnswerKind.SERVED:
                 counts.buckets[bisect_left(BUCKETS_MS, took)] += 1
                 counts.sum_ms += took
-        late = kind == Kind.SERVED and counts is not None and took > counts.aim_ms
+        late = kind == AnswerKind.SERVED and counts is not None and took > counts.aim_ms
         ring = self.courses.wants(entry.rid, kind, late)
         if ring is not None:
             entry.course = (ring, kind, why, now)
 
     def turned_down(self, now: float, partner: str, units: float, why: str) -> None:
         """A request was refused before it was taken."""
-        self.usage.count(now, partner, Kind.REFUSED, units)
-        self.history.answered(now, Kind.REFUSED, why, 0.0)
+        self.usage.count(now, partner, AnswerKind.REFUSED, units)
+        self.history.answered(now, AnswerKind.REFUSED, why, 0.0)
 
     def attempted(self, now: float, attempt: Attempt, result: str) -> None:
         """An attempt ended."""
@@ -103,7 +103,7 @@
         if result not in GOOD:
             self.history.bad_attempts += 1
 
-    def over(self, now: float, entry: Entry) -> Remark | None:
+    def over(self, now: float, entry: Entry) -> LogEvent | None:
         """A request whose course is kept has its last attempt back; returns the line for the log, if any."""
         ring, kind, why, ended = entry.course
         attempts = tuple(
@@ -120,9 +120,9 @@
         self.courses.keep(ring, course)
         if self.traced is not None:
             self.traced(course)
-        if kind != Kind.FAILED:
+        if kind != AnswerKind.FAILED:
             return None
-        return Remark(
+        return LogEvent(
             "warning", "request_failed",
             {
                 "request": entry.rid, "connection": entry.conn, "class": entry.cls, "partner": entry.customer,
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -22,7 +22,7 @@
     hash_password,
     read_users,
 )
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.watch.watch import Watch
 
 EVIL = '<script>alert("x")</script>\x1b[2J\u202e\'"&'
@@ -144,8 +144,8 @@
     watch = Watch(0.0)
     for k in range(40):
         if k % 7:
-            watch.history.answered(k * 10_000.0, Kind.SERVED, "", 20.0 + k)
-            watch.history.answered(k * 10_000.0, Kind.REFUSED, EVIL, 0.0)
+            watch.history.answered(k * 10_000.0, AnswerKind.SERVED, "", 20.0 + k)
+            watch.history.answered(k * 10_000.0, AnswerKind.REFUSED, EVIL, 0.0)
     watch.history.turn(400_000.0)
     return list(watch.history.slots)
 
--- a/tests/daemon/test_parts.py
+++ b/tests/daemon/test_parts.py
@@ -22,7 +22,7 @@
 from rushweir.daemon.metrics import exposition
 from rushweir.daemon.operations import Operations
 from rushweir.daemon.traces import Tracing
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
 from rushweir.ingress.websocket import Setup
 from rushweir.watch.courses import Course
@@ -99,7 +99,7 @@
 
 def test_metrics_are_of_prometheus_form():
     made = core()
-    made.watch.classes["pay"].kinds[Kind.SERVED] = 3
+    made.watch.classes["pay"].kinds[AnswerKind.SERVED] = 3
     made.watch.classes["pay"].buckets[2] = 3
     made.watch.classes["pay"].sum_ms = 60.0
     made.engine.refusals["quota"] = 7
@@ -119,7 +119,7 @@
         {"number": 0, "node": "n:1", "after_ms": 5.0, "result": "timeout", "took_ms": 20.0},
         {"number": 1, "node": "n:2", "after_ms": 30.0, "result": "ok", "took_ms": 10.0},
     )
-    tracing.course(Course("b-1", 9, 4, "pay", "hotel", 1000.0, 1040.0, Kind.FAILED, "attempts", attempts))
+    tracing.course(Course("b-1", 9, 4, "pay", "hotel", 1000.0, 1040.0, AnswerKind.FAILED, "attempts", attempts))
     first, second, request = out.get_finished_spans()
     assert (request.start_time, request.end_time) == (1_000_000_000, 1_040_000_000)
     assert (first.start_time, first.end_time) == (1_005_000_000, 1_025_000_000)
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -74,9 +74,9 @@
         while self.core.orders:
             order = self.core.orders.popleft()
             found.append(order)
-            if isinstance(order, c.AbortConn | c.CloseConn) and order.conn not in self.closed:
+            if isinstance(order, c.AbortConnection | c.CloseConnection) and order.conn not in self.closed:
                 self.closed.add(order.conn)
-                if isinstance(order, c.AbortConn):
+                if isinstance(order, c.AbortConnection):
                     self.core.ended(self.now, order.conn)
         self.seen += found
         return found
--- a/tests/edge/owing.py
+++ b/tests/edge/owing.py
@@ -65,7 +65,7 @@
                     self._attempt(order)
                 case c.Write() if order.conn in self.by_conn:
                     self._answers(order)
-                case c.AbortConn() | c.CloseConn():
+                case c.AbortConnection() | c.CloseConnection():
                     self.cut(order.conn)
 
     def _attempt(self, order):
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -44,8 +44,8 @@
     orders = edge.say(up, SPOILT[name])
     assert up in edge.closed and not edge.written(conn)
     # A class that is safe to repeat: the next attempt goes out, after the first one's connection was cut.
-    kinds = [type(o) for o in orders if isinstance(o, c.AbortConn | c.Dial)]
-    assert kinds == [c.AbortConn, c.Dial]
+    kinds = [type(o) for o in orders if isinstance(o, c.AbortConnection | c.Dial)]
+    assert kinds == [c.AbortConnection, c.Dial]
     up, _ = edge.dial_up(orders)
     edge.say(up, answer(b"good"))
     assert edge.statuses(conn) == [200] and again(edge) == 2
@@ -281,4 +281,4 @@
     dials = [o.conn for o in edge.seen if isinstance(o, c.Dial) and o.port == 80]
     assert len(dials) > 5
     orders = change(edge, 8, **{"1": "Terminating"})
-    assert [o.conn for o in orders if isinstance(o, c.AbortConn)] == sorted(dials)
+    assert [o.conn for o in orders if isinstance(o, c.AbortConnection)] == sorted(dials)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -73,9 +73,9 @@
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
     assert b"Connection: close" in edge.written(conn) and conn in edge.closed
     # Its error reaches a client that still sends: the end is of this side's writing, a cut comes only after more.
-    assert not any(isinstance(o, c.AbortConn) for o in orders)
+    assert not any(isinstance(o, c.AbortConnection) for o in orders)
     assert not edge.core.engine.ledger.entries
-    assert any(isinstance(o, c.AbortConn) for _ in range(6) for o in edge.say(conn, b"z" * 60_000))
+    assert any(isinstance(o, c.AbortConnection) for _ in range(6) for o in edge.say(conn, b"z" * 60_000))
 
 
 @given(st.binary(max_size=300), st.integers(0, 250))
@@ -259,5 +259,5 @@
     sharing = replace(SETTINGS, gateways=2, sharing=replace(SETTINGS.sharing, peers=True))
     edge = Edge(sharing, peers=(a, b))
     edge.core.reload(edge.now, replace(edge.core.setup, peers=(a, new)))
-    assert c.Peers({0: a, 1: new}) in edge.turn()
+    assert c.SetPeerAddresses({0: a, 1: new}) in edge.turn()
     assert edge.core.peers.unpack(0.0, b"x", b) is None and edge.core.peers.unpack(0.0, b"x", new) == (1, "x")
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -27,7 +27,7 @@
 
 
 def ended_without_a_word(edge, conn):
-    ends = [o for o in edge.seen if isinstance(o, c.AbortConn | c.CloseConn) and o.conn == conn]
+    ends = [o for o in edge.seen if isinstance(o, c.AbortConnection | c.CloseConnection) and o.conn == conn]
     return bool(ends) and not edge.written(conn)
 
 
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -118,7 +118,7 @@
         conn = front()
         (rid, _), *others = conn.receive(data[:cut]) + conn.receive(data[cut:])
         assert rid == b"id-1" and not others and len(conn.queue) == 1, cut
-        conn.answer(c.Answer(1, rid, c.Kind.SERVED, b"1", "", 0.0))
+        conn.answer(c.Answer(1, rid, c.AnswerKind.SERVED, b"1", "", 0.0))
         assert [k for k, _ in conn.receive(b"")] == [b"id-2"]
 
 
--- a/tests/edge/test_shell.py
+++ b/tests/edge/test_shell.py
@@ -32,7 +32,7 @@
         conn = p.core.new_conn(None)
         p.shell.carry[c.Dial](c.Dial(conn, *full.getsockname(), 60_000.0))
         await p.until(lambda: descriptors() == before + 1)
-        p.shell.carry[c.AbortConn](c.AbortConn(conn))
+        p.shell.carry[c.AbortConnection](c.AbortConnection(conn))
         await p.until(lambda: descriptors() == before)
         assert not p.shell.dials
         for sock in (*fill, full):
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -14,7 +14,7 @@
 from rushweir.fronts.credentials import Credentials, digest, new_credential
 from rushweir.fronts.websocket import ClientConnection, FrontSettings
 from rushweir.ingress.asks import Partner
-from rushweir.ingress.commands import Answer, Kind
+from rushweir.ingress.commands import Answer, AnswerKind
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, client_protocol
 
@@ -140,11 +140,15 @@
     ref, ask = got
     assert (ask.cls, ask.within_ms, ask.units) == ("booking", 500, 2.0)
     assert ask.payload == {"partner": "hotel", "data": {"to": "Keleti"}, "units": 2, "key": "hotel/k"}
-    p.front.answer(Answer(1, ref, Kind.SERVED, ("result", {"ok": 1})))
+    p.front.answer(Answer(1, ref, AnswerKind.SERVED, ("result", {"ok": 1})))
     assert p.heard() == [{"jsonrpc": "2.0", "id": "x", "result": {"ok": 1}}]
     for kind, code, data in (
-        (Kind.REFUSED, rpc.REFUSED, {"reason": "quota", "repeat": "harmless", "retry_after_ms": 41, "request": "r"}),
-        (Kind.FAILED, rpc.FAILED, {"reason": "quota", "request": "r"}),
+        (
+            AnswerKind.REFUSED,
+            rpc.REFUSED,
+            {"reason": "quota", "repeat": "harmless", "retry_after_ms": 41, "request": "r"},
+        ),
+        (AnswerKind.FAILED, rpc.FAILED, {"reason": "quota", "request": "r"}),
     ):
         ((ref, _),) = p.say(call("y"))
         p.front.answer(Answer(1, ref, kind, None, "quota", 40.2, "r"))
@@ -211,9 +215,9 @@
     asked = p.say(text)
     assert [a.within_ms for _, a in asked] == [400, 400, 400]
     for ref, _ in asked[:2]:
-        p.front.answer(Answer(1, ref, Kind.SERVED, ("result", ref.id)))
+        p.front.answer(Answer(1, ref, AnswerKind.SERVED, ("result", ref.id)))
     assert p.heard() == []
-    p.front.answer(Answer(1, asked[2][0], Kind.FAILED, None, "attempts"))
+    p.front.answer(Answer(1, asked[2][0], AnswerKind.FAILED, None, "attempts"))
     (said,) = p.heard()
     assert sorted(str(m["id"]) for m in said) == ["1", "2", "3", "None"]
 
--- a/tests/ingress/test_engine.py
+++ b/tests/ingress/test_engine.py
@@ -45,7 +45,7 @@
 
 def drain(engine) -> list:
     """What it wants done, but for the lines of the log on requests that failed."""
-    out = [x for x in engine.out if not (isinstance(x, c.Remark) and x.cause == "request_failed")]
+    out = [x for x in engine.out if not (isinstance(x, c.LogEvent) and x.cause == "request_failed")]
     engine.out.clear()
     return out
 
@@ -80,13 +80,13 @@
     assert not drain(engine)
     engine.advance(10.0)
     assert drain(engine) == [
-        c.TellPeer(1, "x"), c.TellPeer(None, "y"), c.CallCounter(5, 2.0, 60.0), c.ProbeNode("n:1"),
-        c.WatchList(True), c.WatchList(False), c.FetchList(), c.Remark("info", "policy", {"text": "hi"}),
+        c.SendPeerMessage(1, "x"), c.SendPeerMessage(None, "y"), c.CallCounter(5, 2.0, 60.0), c.ProbeNode("n:1"),
+        c.WatchList(True), c.WatchList(False), c.FetchList(), c.LogEvent("info", "policy", {"text": "hi"}),
     ]  # fmt: skip
     (send,) = take(engine, 10.0)
     policy.answers[i.Counted] = [i.Cancel("b-1", 0), i.Cancel("b-1", 7), i.Cancel("nix", 0)]
     engine.counted(11.0, 5, i.Result.OK, 2.0, 1.0)
-    assert [type(x) for x in drain(engine)] == [c.CancelAttempt, c.Remark, c.Remark]
+    assert [type(x) for x in drain(engine)] == [c.CancelAttempt, c.LogEvent, c.LogEvent]
     assert policy.seen[-1] == i.Counted(5, i.Result.OK, 2.0, 1.0)
     engine.probed(12.0, "n:1", i.Result.OK, 3.0, {"util": 1.0})
     engine.members(12.0, i.Scope.FULL, (i.Server("n:1"),))
@@ -135,12 +135,12 @@
     engine, policy = made
     policy.answers[i.Request] = lambda e: [i.Send(e.id, "n:1"), i.Send(e.id, "n:2")]
     first, odd = take(engine)
-    assert isinstance(odd, c.Remark)
+    assert isinstance(odd, c.LogEvent)
     engine.advance(0.0)
     assert policy.seen[-1] == i.Outcome("b-1", 1, "n:2", i.Result.MOOT, 0.0, False)
     policy.answers[i.Outcome] = lambda e: [i.Send(e.id, "n:3")] if not e.settled else []
     engine.outcome(5.0, first.attempt, i.Result.ERROR)
-    assert [type(x) for x in drain(engine)] == [c.Remark]  # a third one: two are allowed
+    assert [type(x) for x in drain(engine)] == [c.LogEvent]  # a third one: two are allowed
     policy.answers[i.Outcome] = lambda e: [i.Fail(e.id)]
     engine.advance(6.0)
     assert [x.kind for x in drain(engine)] == ["failed"] and not engine.ledger.owed
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -18,7 +18,7 @@
 from rushweir.daemon.reloading import Reloading
 from rushweir.fronts.credentials import digest
 from rushweir.ingress.asks import Partner
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
 from rushweir.rollout.ceilings import Between
 from rushweir.rollout.steps import Change
@@ -97,7 +97,7 @@
     g = Ingress(text_of("a", "b"))
     one, other = g.client("a"), g.client("b")
     before, front, setup = other.partner, other.settings, g.core.setup
-    g.core.watch.usage.count(0.0, "a", Kind.SERVED, 2.0)
+    g.core.watch.usage.count(0.0, "a", AnswerKind.SERVED, 2.0)
     g.events.clear()
     changes = g.step(put("a", "new", "tin"))
     assert (one.partner.plan, other.partner) == ("tin", before) and other.partner is before
--- a/tests/watch/test_watch.py
+++ b/tests/watch/test_watch.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from rushweir.ingress.asks import Ask
-from rushweir.ingress.commands import Attempt, Kind
+from rushweir.ingress.commands import AnswerKind, Attempt
 from rushweir.ingress.ledger import Entry
 from rushweir.watch.courses import Course, Courses
 from rushweir.watch.heaviest import Heaviest
@@ -71,8 +71,8 @@
 
 def test_pages_and_search():
     usage = Usage([(f"Partner {k:05d}", "wide") for k in range(10_000)] + [("Ödön", "tight")])
-    usage.count(0.0, "Partner 00042", Kind.SERVED, 2.0)
-    usage.count(0.0, "nobody", Kind.SERVED, 1.0)
+    usage.count(0.0, "Partner 00042", AnswerKind.SERVED, 2.0)
+    usage.count(0.0, "nobody", AnswerKind.SERVED, 1.0)
     total, rows = usage.page("r 0004", 2, 3)
     assert total == 10 and [r["name"] for r in rows] == ["Partner 00042", "Partner 00043", "Partner 00044"]
     assert rows[0]["served"] == 1 and rows[0]["units"] == 2.0
@@ -83,7 +83,7 @@
 
 def test_counts_stay_over_a_change_of_the_partners():
     usage = Usage([("a", "x"), ("b", "x")])
-    usage.count(0.0, "b", Kind.REFUSED, 1.0)
+    usage.count(0.0, "b", AnswerKind.REFUSED, 1.0)
     usage.know([("c", "x"), ("b", "y")])
     counts = {"served": 0, "refused": 1, "failed": 0, "left": 0}
     assert usage.row("b") == {"name": "b", "plan": "y", "units": 0.0, **counts}
@@ -93,13 +93,13 @@
 def test_the_heaviest_lately_fade():
     usage = Usage([("a", "x"), ("b", "x")])
     for _ in range(100):
-        usage.count(0.0, "a", Kind.SERVED, 1.0)
+        usage.count(0.0, "a", AnswerKind.SERVED, 1.0)
     for k in range(1, 6):
-        usage.count(k * HALVE_MS, "b", Kind.SERVED, 1.0)  # counted, then halved away
-    usage.count(5 * HALVE_MS, "b", Kind.SERVED, 1.0)
+        usage.count(k * HALVE_MS, "b", AnswerKind.SERVED, 1.0)  # counted, then halved away
+    usage.count(5 * HALVE_MS, "b", AnswerKind.SERVED, 1.0)
     assert [(r["name"], r["lately"]) for r in usage.lately(2)] == [("a", 3), ("b", 1)]
-    usage.count(6 * HALVE_MS, "b", Kind.SERVED, 1.0)
-    usage.count(7 * HALVE_MS, "b", Kind.SERVED, 1.0)
+    usage.count(6 * HALVE_MS, "b", AnswerKind.SERVED, 1.0)
+    usage.count(7 * HALVE_MS, "b", AnswerKind.SERVED, 1.0)
     assert [(r["name"], r["lately"]) for r in usage.lately(2)] == [("b", 1)]
 
 
@@ -109,9 +109,9 @@
 def test_slots():
     history = History(25_000.0)
     for k in range(100):
-        history.answered(25_000.0 + k, Kind.SERVED, "", float(k + 1))
-    history.answered(29_999.0, Kind.REFUSED, "quota", 0.0)
-    history.answered(50_000.0, Kind.FAILED, "attempts", 0.0)
+        history.answered(25_000.0 + k, AnswerKind.SERVED, "", float(k + 1))
+    history.answered(29_999.0, AnswerKind.REFUSED, "quota", 0.0)
+    history.answered(50_000.0, AnswerKind.FAILED, "attempts", 0.0)
     assert [s["at"] for s in history.slots] == [20_000.0, 30_000.0, 40_000.0]
     first, empty, _ = history.slots
     assert (first["served"], first["refused"], first["reasons"]) == (100, 1, {"quota": 1})
@@ -122,29 +122,29 @@
 def test_the_hour_is_all_that_is_kept():
     history = History(0.0)
     for k in range(SLOTS * 2):
-        history.answered(k * SLOT_MS, Kind.SERVED, "", 1.0)
+        history.answered(k * SLOT_MS, AnswerKind.SERVED, "", 1.0)
     assert len(history.slots) == SLOTS
     history.turn(1e12)
     assert len(history.slots) <= SLOTS and history.began <= 1e12 < history.began + SLOT_MS
     for k in range(100):
-        history.answered(1e12, Kind.REFUSED, f"why{k}", 0.0)
+        history.answered(1e12, AnswerKind.REFUSED, f"why{k}", 0.0)
     assert len(history.reasons) <= 33 and sum(history.reasons.values()) == 100
 
 
 # --- courses ----------------------------------------------------------------------------------------
 
 
-def course(rid, kind=Kind.SERVED):
+def course(rid, kind=AnswerKind.SERVED):
     return Course(rid, 1, 1, "c", "p", 0.0, 1.0, kind, "", ())
 
 
 def test_failures_are_always_kept_and_the_rest_by_sample():
     courses = Courses(0.25, 100)
-    assert courses.wants("x", Kind.FAILED, False) == 0 and courses.wants("x", Kind.SERVED, True) == 0
-    chosen = sum(courses.wants(f"b-{k:x}", Kind.SERVED, False) == 1 for k in range(4000))
+    assert courses.wants("x", AnswerKind.FAILED, False) == 0 and courses.wants("x", AnswerKind.SERVED, True) == 0
+    chosen = sum(courses.wants(f"b-{k:x}", AnswerKind.SERVED, False) == 1 for k in range(4000))
     assert 900 < chosen < 1100
-    assert Courses(0.0, 10).wants("x", Kind.SERVED, False) is None
-    assert all(Courses(1.0, 10).wants(f"{k}", Kind.REFUSED, False) == 1 for k in range(100))
+    assert Courses(0.0, 10).wants("x", AnswerKind.SERVED, False) is None
+    assert all(Courses(1.0, 10).wants(f"{k}", AnswerKind.REFUSED, False) == 1 for k in range(100))
 
 
 def test_rings_are_bounded_and_found_by_id():
@@ -171,17 +171,17 @@
     traced = []
     watch = Watch(0.0, [("hotel", "wide")], {"booking": 100.0}, 0.0, 10, traced.append)
     watch.know_nodes(["n:0"])
-    remark = ended(watch, "r1", Kind.FAILED, 50.0, "timeout", "conn_lost", why="attempts")
+    remark = ended(watch, "r1", AnswerKind.FAILED, 50.0, "timeout", "conn_lost", why="attempts")
     assert remark.fields["attempts"] == ["0:n:0:timeout", "1:n:1:conn_lost"]
     row = watch.courses.find("r1").as_row()
     assert row["took_ms"] == 50.0 and row["attempts"][1] == {
         "number": 1, "node": "n:1", "after_ms": 10.0, "result": "conn_lost", "took_ms": 40.0,
     }  # fmt: skip
     assert [c.rid for c in traced] == ["r1"] and watch.nodes["n:0"].last_bad == "timeout"
-    assert ended(watch, "r2", Kind.SERVED, 150.0, "ok") is None and watch.courses.find("r2")  # late
-    assert ended(watch, "r3", Kind.SERVED, 50.0, "ok") is None and watch.courses.find("r3") is None
+    assert ended(watch, "r2", AnswerKind.SERVED, 150.0, "ok") is None and watch.courses.find("r2")  # late
+    assert ended(watch, "r3", AnswerKind.SERVED, 50.0, "ok") is None and watch.courses.find("r3") is None
     counts = watch.classes["booking"]
-    assert counts.kinds[Kind.SERVED] == 2 and sum(counts.buckets) == 2 and counts.sum_ms == 200.0
+    assert counts.kinds[AnswerKind.SERVED] == 2 and sum(counts.buckets) == 2 and counts.sum_ms == 200.0
 
 
 def test_events_are_bounded_and_numbered():
