--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -35,7 +35,7 @@
         self.clock = clock
         self.limiter = Limiter(LOG_LINES_PER_S, LOG_BURST_LINES)
 
-    def remark(self, remark: c.Remark) -> None:
+    def remark(self, remark: c.LogEvent) -> None:
         """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
         allowed, left_out = self.limiter.may(now, remark.cause)
@@ -89,7 +89,7 @@
 
     def trace(self, trace: Trace) -> None:
         """Writes a trace line now and once a second."""
-        self.log.remark(c.Remark("debug", "trace", trace.line(self.clock())))
+        self.log.remark(c.LogEvent("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
@@ -115,7 +115,7 @@
         await asyncio.sleep(ACCEPTING_S)
         longest = max(request_class.deadline_ms for request_class in core.setup.settings.classes)
         answered = await shell.stop(min(longest, PLATFORM_KILL_MS) - ANSWER_MARGIN_MS)
-        self.log.remark(c.Remark("info", "stopped", {"answered": answered, **core.figures()}))
+        self.log.remark(c.LogEvent("info", "stopped", {"answered": answered, **core.figures()}))
 
 
 def run(signals: Signals) -> int:
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -14,7 +14,7 @@
 from rushweir.fronts.credentials import Credentials, digest, new_credential
 from rushweir.fronts.websocket import ClientConnection, FrontSettings
 from rushweir.ingress.asks import Partner
-from rushweir.ingress.commands import Answer, Kind
+from rushweir.ingress.commands import Answer, AnswerKind
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, client_protocol
 
@@ -148,11 +148,15 @@
     ref, ask = got
     assert (ask.cls, ask.within_ms, ask.units) == ("booking", 500, 2.0)
     assert ask.payload == {"partner": "hotel", "data": {"to": "Keleti"}, "units": 2, "key": "hotel/k"}
-    connected.front.answer(Answer(1, ref, Kind.SERVED, ("result", {"ok": 1})))
+    connected.front.answer(Answer(1, ref, AnswerKind.SERVED, ("result", {"ok": 1})))
     assert connected.received_messages() == [{"jsonrpc": "2.0", "id": "x", "result": {"ok": 1}}]
     for kind, code, data in (
-        (Kind.REFUSED, rpc.REFUSED, {"reason": "quota", "repeat": "harmless", "retry_after_ms": 41, "request": "r"}),
-        (Kind.FAILED, rpc.FAILED, {"reason": "quota", "request": "r"}),
+        (
+            AnswerKind.REFUSED,
+            rpc.REFUSED,
+            {"reason": "quota", "repeat": "harmless", "retry_after_ms": 41, "request": "r"},
+        ),
+        (AnswerKind.FAILED, rpc.FAILED, {"reason": "quota", "request": "r"}),
     ):
         ((ref, _),) = connected.send(call("y"))
         connected.front.answer(Answer(1, ref, kind, None, "quota", 40.2, "r"))
@@ -222,9 +226,9 @@
     asked = connected.send(text)
     assert [a.within_ms for _, a in asked] == [400, 400, 400]
     for ref, _ in asked[:2]:
-        connected.front.answer(Answer(1, ref, Kind.SERVED, ("result", ref.id)))
+        connected.front.answer(Answer(1, ref, AnswerKind.SERVED, ("result", ref.id)))
     assert connected.received_messages() == []
-    connected.front.answer(Answer(1, asked[2][0], Kind.FAILED, None, "attempts"))
+    connected.front.answer(Answer(1, asked[2][0], AnswerKind.FAILED, None, "attempts"))
     (message,) = connected.received_messages()
     assert sorted(str(m["id"]) for m in message) == ["1", "2", "3", "None"]
 
