--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("name", AFTER)
-def test_a_good_answer_with_more_than_belongs_to_it_is_served(edge, name):
+def test_valid_answer_with_extra_bytes_is_served(edge, name):
     conn, up = edge.sent()
     edge.say(up, AFTER[name])
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"good")
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_reaches_nobody_and_its_connection_ends(edge, name):
+def test_malformed_answer_is_not_forwarded_and_its_connection_ends(edge, name):
     conn, up = edge.sent()
     orders = edge.say(up, SPOILT[name])
     assert up in edge.closed and not edge.written(conn)
@@ -51,7 +51,7 @@
     assert edge.statuses(conn) == [200] and again(edge) == 2
 
 
-def test_bytes_after_the_answer_end_an_idle_connection(edge):
+def test_bytes_on_an_idle_connection_end_it(edge):
     _, up = edge.sent()
     edge.say(up, answer())
     edge.say(up, answer())
@@ -62,20 +62,20 @@
     ("503 No", "Srv-Declined: 1\r\n", "full"), ("504 No", "Srv-Declined: 1\r\n", "full"), ("503 No", "", "error"),
     ("500 No", "", "error"), ("400 No", "", "error"), ("404 No", "Srv-Declined: 1\r\n", "error"),
 ])  # fmt: skip
-def test_the_platforms_table_of_outcomes(edge, status, more, result):
+def test_answer_maps_to_the_outcome_of_the_platforms_table(edge, status, more, result):
     _, up = edge.sent(booking())
     edge.say(up, answer(b"", status, more))
     assert edge.core.engine.counts[f"attempt_{result}"] == 1
 
 
-def test_an_end_before_the_last_byte_was_written_never_ran(edge):
+def test_connection_lost_before_the_last_byte_counts_as_connect_failed(edge):
     _, up = edge.sent(booking(body=b"x" * 60_000))
     edge.core.congested(edge.now, up, 1000)
     edge.core.ended(edge.now, up)
     assert edge.core.engine.counts["attempt_connect_failed"] == 1
 
 
-def test_an_end_after_it_may_have_run(edge):
+def test_connection_lost_after_the_last_byte_counts_as_reset(edge):
     _, up = edge.sent(booking(body=b"x" * 60_000))
     edge.core.congested(edge.now, up, 1000)
     edge.core.drained(edge.now, up)
@@ -83,7 +83,7 @@
     assert edge.core.engine.counts["attempt_reset"] == 1
 
 
-def test_a_dial_that_fails_never_ran_and_another_backend_is_tried(edge):
+def test_failed_dial_is_retried_at_another_backend(edge):
     conn = edge.connect()
     dial = next(o for o in edge.say(conn, request()) if isinstance(o, c.Dial))
     edge.core.dial_failed(edge.now, dial.conn)
@@ -91,13 +91,13 @@
     assert next_dial.host != dial.host
 
 
-def test_a_silent_backend_is_left_in_time_and_its_connection_cut(edge):
+def test_silent_backend_times_out_and_its_connection_is_cut(edge):
     conn, up = edge.sent(booking())
     edge.pass_ms(2000.0)
     assert up in edge.closed and edge.statuses(conn)[0] in (502, 503) and len(edge.statuses(conn)) == 1
 
 
-def test_the_connection_used_last_is_used_again_and_old_ones_are_closed(edge):
+def test_last_used_connection_is_reused_and_idle_ones_are_closed(edge):
     conn, up = edge.sent()
     edge.say(up, answer())
     for n in range(40):
@@ -109,7 +109,7 @@
     assert not edge.core.pool.links and conn in edge.closed
 
 
-def test_no_request_goes_out_on_a_connection_that_may_be_closed_by_now(edge):
+def test_no_request_is_written_on_a_connection_near_its_idle_limit(edge):
     conn, up = edge.sent()
     edge.say(up, answer())
     link = edge.core.pool.links[up]
@@ -118,7 +118,7 @@
     assert link.state == "gone"
 
 
-def test_connections_are_bounded_over_all_backends():
+def test_connections_are_limited_across_all_backends():
     from rushweir.edge.backends import PoolSettings
 
     edge = Edge(pool=PoolSettings(2))
@@ -139,7 +139,7 @@
     return edge.say(source.conn, answer(orjson.dumps({"version": version, "full": full, "servers": entries})))
 
 
-def test_what_waits_for_a_backend_that_drains_was_never_sent(edge):
+def test_attempt_waiting_for_a_draining_backend_is_never_sent(edge):
     conn = edge.connect()
     dial = next(o for o in edge.say(conn, request()) if isinstance(o, c.Dial))
     orders = change(edge, 8, **{dial.host[-1]: "Terminating"})
@@ -149,7 +149,7 @@
     assert not edge.written(dial.conn)
 
 
-def test_a_new_backend_at_an_old_address_gets_connections_of_its_own(edge):
+def test_new_backend_at_an_old_address_gets_new_connections(edge):
     _, up = edge.sent()
     edge.say(up, answer())
     gone = edge.core.pool.links[up].backend
@@ -162,7 +162,7 @@
     assert new.endpoint.host == gone.endpoint.host and not new.links
 
 
-def test_a_backend_that_started_anew_gets_new_connections(edge):
+def test_restarted_backend_gets_new_connections(edge):
     _, up = edge.sent()
     edge.say(up, answer())
     entry = next(e for e in LIST["servers"] if e["id"] == edge.core.pool.links[up].backend.id)
@@ -172,7 +172,7 @@
     assert up in edge.closed
 
 
-def test_backends_that_left_are_forgotten(edge):
+def test_removed_backends_are_forgotten(edge):
     change(edge, 8)
     for n in range(50):
         page = {"version": 9 + n, "full": True, "servers": [{**LIST["servers"][0], "id": f"s-{n}"}]}
@@ -182,7 +182,7 @@
     assert [len(h) for h in held] == [1] * 5
 
 
-def test_a_probe_ends_once(edge):
+def test_probe_ends_once(edge):
     edge.core.pool.probe(edge.now, "s-1")
     edge.core.advance(edge.now)
     up, _ = edge.dial_up(edge.turn())
@@ -194,7 +194,7 @@
     assert told == [i.Result.OK]
 
 
-def test_the_trace_tells_what_came_since_its_last_line(edge):
+def test_trace_line_counts_events_since_the_previous_line(edge):
     from rushweir.edge.trace import Trace
 
     trace = Trace(edge.core)
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("other", ELSEWHERE)
-def test_what_waits_for_a_backend_that_moved_is_decided_anew(edge, other):
+def test_attempt_waiting_for_a_moved_backend_is_decided_again(edge, other):
     """Its dial led to where the backend had been, and carried the request there when it came up."""
     conn = edge.connect()
     dial = next(o for o in edge.say(conn, booking()) if isinstance(o, c.Dial) and o.port == 80)
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("other", ELSEWHERE)
-def test_a_busy_connection_to_a_backend_that_moved_goes_with_its_answer(edge, other):
+def test_busy_connection_to_a_moved_backend_closes_after_its_answer(edge, other):
     """It was kept, and carried the next request to where the backend had been."""
     conn, up = edge.sent()
     retell(edge, edge.core.pool.links[up].backend.id, **other)
@@ -245,7 +245,7 @@
     assert edge.statuses(conn) == [200] and up in edge.closed
 
 
-def test_a_late_second_answer_meets_no_other_request(edge):
+def test_late_duplicate_answer_is_not_taken_for_another_request(edge):
     """The connection carried the next request at once, and a copy some milliseconds late was its answer."""
     conn, up = edge.sent(request("one"))
     edge.say(up, answer(b"for one"))
@@ -258,7 +258,7 @@
     assert sum(b"for one" in o.data for o in edge.seen if isinstance(o, c.Write)) == 1
 
 
-def test_a_connection_that_rested_serves_who_waits_for_a_dial():
+def test_connection_after_its_cooldown_serves_a_request_waiting_for_a_dial():
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
     edge.policy.room.finished.add(400.0, edge.now)
     edge.policy.room.partition(1, edge.now)
@@ -271,7 +271,7 @@
     assert edge.statuses(other) == [200]
 
 
-def test_connections_that_go_together_go_in_one_order():
+def test_connections_cut_together_are_cut_in_a_fixed_order():
     """They lay in a set, whose order is another in each process: equal events have to give equal orders."""
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
     edge.policy.room.finished.add(400.0, edge.now)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -14,7 +14,7 @@
 from tests.edge.conftest import SETTINGS, Edge, answer, booking, request
 
 
-def test_a_request_is_served_with_the_backends_body(edge):
+def test_request_is_answered_with_the_backends_body(edge):
     conn, up = edge.sent(booking(body=b'{"to": 1}', key="key-9"))
     out = edge.written(up)
     assert out.startswith(b"POST /api?customer=0000000000000001 HTTP/1.1\r\n") and out.endswith(b'\r\n\r\n{"to": 1}')
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_request_that_does_not_fit_gets_an_error_and_the_connection_stays(edge, name):
+def test_invalid_request_gets_an_error_and_the_connection_stays(edge, name):
     conn = edge.connect()
     edge.say(conn, BAD[name])
     assert 400 <= edge.statuses(conn)[0] < 429 and conn not in edge.closed
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("name", UNREADABLE)
-def test_what_can_t_be_read_gets_one_error_and_the_end(edge, name):
+def test_malformed_request_gets_one_error_and_the_connection_ends(edge, name):
     conn = edge.connect()
     orders = edge.say(conn, UNREADABLE[name])
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
@@ -80,7 +80,7 @@
 
 @given(st.binary(max_size=300), st.integers(0, 250))
 @settings(max_examples=150, deadline=None)
-def test_any_bytes_are_answered_or_waited_for(noise, cut):
+def test_any_bytes_are_answered_or_the_connection_is_closed(noise, cut):
     edge = Edge()
     conn = edge.connect()
     edge.say(conn, request()[:cut] + noise)
@@ -90,7 +90,7 @@
 
 @given(st.lists(st.integers(1, 600), max_size=8))
 @settings(max_examples=100, deadline=None)
-def test_a_request_cut_anywhere_reads_the_same(cuts):
+def test_request_is_parsed_equally_at_any_split(cuts):
     edge, data = Edge(), booking(body=b"x" * 300)
     conn = edge.connect()
     at = 0
@@ -103,14 +103,14 @@
     assert edge.written(up).endswith(b"\r\n\r\n" + b"x" * 300)
 
 
-def test_the_id_of_an_open_request_is_taken(edge):
+def test_id_of_an_open_request_is_refused_with_409(edge):
     edge.sent()
     other = edge.connect()
     edge.say(other, request())
     assert edge.statuses(other) == [409]
 
 
-def test_what_is_sent_ahead_is_answered_in_order(edge):
+def test_pipelined_requests_are_answered_in_order(edge):
     conn, up = edge.sent(request("one") + request("two"))
     edge.say(up, answer(b"1"))
     edge.pass_ms(REST_MS)  # of the connection to the backend
@@ -119,20 +119,20 @@
     assert edge.statuses(conn) == [200, 200] and edge.written(conn).endswith(b"2")
 
 
-def test_hundreds_ahead_of_their_answers_end_in_an_error(edge):
+def test_too_many_pipelined_requests_get_an_error(edge):
     conn = edge.connect()
     edge.say(conn, b"".join(request(f"r{k}", cls="none") for k in range(300)))
     assert 400 in edge.statuses(conn) and conn in edge.closed
 
 
-def test_a_client_that_says_nothing_or_half_is_told_in_time(edge):
+def test_silent_client_and_incomplete_request_get_408(edge):
     silent, half = edge.connect(), edge.connect()
     edge.say(half, request()[:40])
     edge.pass_ms(2500.0)
     assert edge.statuses(silent) == edge.statuses(half) == [408] and {silent, half} <= edge.closed
 
 
-def test_half_a_request_on_an_old_connection_is_told_in_time(edge):
+def test_incomplete_request_on_a_used_connection_gets_408(edge):
     conn, up = edge.sent()
     edge.say(up, answer())
     edge.pass_ms(1500.0)
@@ -141,7 +141,7 @@
     assert edge.statuses(conn) == [200, 408]
 
 
-def test_a_full_ingress_gives_up_the_silent_for_those_who_ask():
+def test_full_ingress_closes_silent_clients_for_new_ones():
     edge = Edge(most_clients=4)
     busy, _ = edge.sent()
     silent = [edge.connect() for _ in range(3)]
@@ -152,28 +152,28 @@
     assert edge.statuses(new) == [200] and len(edge.core.clients.open) == 4
 
 
-def test_a_refusal_says_when_to_return(edge):
+def test_refusal_has_a_retry_after_header(edge):
     first, up = edge.sent(request(plan="tight"))
     edge.say(up, answer())
     edge.say(first, request("id-2", plan="tight"))
     assert edge.statuses(first) == [200, 429] and b"Retry-After: 0.5" in edge.written(first)
 
 
-def test_a_client_that_left_is_forgotten(edge):
+def test_disconnected_client_leaves_no_state(edge):
     conn, up = edge.sent()
     edge.core.ended(edge.now, conn)
     edge.say(up, answer())
     assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.parts.shared.open
 
 
-def test_health_tells_whether_there_is_a_list():
+def test_health_page_depends_on_having_a_list():
     for edge, status in ((Edge(), 200), (Edge(known=None), 503)):
         conn = edge.connect()
         edge.say(conn, b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
         assert edge.statuses(conn) == [status]
 
 
-def test_an_ending_ingress_serves_what_comes_and_lets_clients_go(edge):
+def test_stopping_ingress_serves_new_requests_and_closes_idle_clients(edge):
     conn, up = edge.sent()
     idle = edge.connect()
     edge.core.leave(edge.now, edge.core.setup.settings)
@@ -187,13 +187,13 @@
     assert idle in edge.closed
 
 
-def test_ids_of_a_connection_that_broke_are_free_again(edge):
+def test_request_ids_of_a_lost_connection_are_released(edge):
     conn, _ = edge.sent()
     edge.core.ended(edge.now, conn)
     assert isinstance(edge.core.parts.shared, Shared) and not edge.core.parts.shared.open
 
 
-def test_a_crowd_that_was_turned_away_leaves_the_place_to_those_who_ask():
+def test_rejected_connections_make_room_for_new_requests():
     """Those turned away lingered above the bound, one went for each newcomer, and so all newcomers were refused."""
     edge = Edge(most_clients=4)
     for _ in range(20):  # at once: none is old enough to go
@@ -205,7 +205,7 @@
     assert edge.statuses(new) == [200] and len(edge.core.clients.open) <= 4
 
 
-def test_clients_that_ask_once_and_stay_do_not_shut_others_out():
+def test_clients_idle_after_one_request_do_not_block_new_ones():
     """They counted as in use for 2 s, and newcomers, each with a request, were turned away into retries (r03c8f5)."""
     edge = Edge(most_clients=4)
     for n in range(20):
@@ -216,7 +216,7 @@
     assert not edge.core.counts["turned_away"] and len(edge.core.clients.open) <= 4
 
 
-def test_an_idle_connection_ends_after_two_seconds_and_not_with_a_request_open(edge):
+def test_connection_closes_after_two_idle_seconds_but_not_with_an_open_request(edge):
     conn, up = edge.sent()
     edge.pass_ms(1900.0)
     edge.say(up, answer())
@@ -226,7 +226,7 @@
     assert conn in edge.closed
 
 
-def test_while_many_connections_are_open_those_answered_are_left():
+def test_answered_connections_close_while_too_many_are_open():
     """Connections that had asked once were all that clients might hold: half of the tries found none (r03c8f5)."""
     edge, open_now = Edge(kept=3), []
     for n in range(6):
@@ -240,7 +240,7 @@
     assert edge.core.parts.shared.spoken == 0
 
 
-def test_what_was_sent_ahead_is_answered_before_an_ending_ingress_closes(edge):
+def test_pipelined_requests_are_answered_before_a_stopping_ingress_closes(edge):
     """The answer to the first said that the connection closes, and took the second along."""
     conn, up = edge.sent(request("one") + request("two"))
     edge.core.leave(edge.now, edge.core.setup.settings)
@@ -253,7 +253,7 @@
     assert edge.written(conn).count(b"Connection: close") == 1
 
 
-def test_a_reload_with_other_peers_knows_them_and_forgets_the_old():
+def test_reload_with_other_peers_replaces_the_old_ones():
     """Datagrams of the old ones counted under numbers that were others' by then."""
     a, b, new = ("10.0.0.1", 7946), ("10.0.0.2", 7946), ("10.0.0.9", 7946)
     sharing = replace(SETTINGS, gateways=2, sharing=replace(SETTINGS.sharing, peers=True))
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("how", ["nothing", "a byte", "half", "all but a byte"])
 @pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
-def test_only_a_new_connection_on_which_nothing_has_come_ends_with_no_answer(when, how):
+def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
     """From its first byte on a request is waited for, and served."""
     edge, data = Edge(most_clients=3), booking("one")
     conn = edge.connect()
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("quiet", [0.0, 0.5 * QUIET_MS, 0.99 * QUIET_MS])
-def test_a_connection_that_came_just_now_makes_no_room_and_the_newcomer_is_told(quiet):
+def test_recent_connection_is_not_closed_for_a_new_one_which_gets_503(quiet):
     edge = Edge(most_clients=3)
     conns = [edge.connect() for _ in range(3)]
     edge.pass_ms(quiet)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("ms", [0.0, 100.0, 300.0, COMES_MS])
 @pytest.mark.parametrize("quiet", [0.0, LINGER_MS - 1.0])
-def test_whoever_comes_while_the_process_ends_is_answered(ms, quiet):
+def test_new_connections_during_shutdown_are_answered(ms, quiet):
     """New connections come for up to 0.4 s, and one that came then is not closed for its quiet before 0.7 s."""
     edge = Edge()
     edge.core.leave(edge.now, edge.core.setup.settings)
@@ -89,7 +89,7 @@
     assert edge.statuses(conn) == [200] and b"Connection: close" in edge.written(conn)
 
 
-def test_whoever_is_turned_away_too_slow_or_unreadable_gets_an_answer():
+def test_rejected_slow_and_malformed_clients_get_an_answer():
     edge = Edge(most_clients=1)
     edge.sent()  # under way: it does not go
     away = edge.connect()
@@ -106,7 +106,7 @@
     assert [edge.statuses(k) for k in (silent, noise)] == [[408], [400]]
 
 
-def test_what_lay_in_the_listening_queue_a_turn_before_the_end_is_answered():
+def test_listen_queue_is_answered_when_shutdown_begins():
     """As many as one turn of the loop takes in connected and asked while it did something else, and then the end
     begins. The queue of later ones is reset: by the platform nobody comes any more for 0.3 s by then."""
 
@@ -132,7 +132,7 @@
     play(scenario)
 
 
-def test_what_comes_into_the_listening_queue_after_that_is_reset_and_nothing_of_it_is_sent_on():
+def test_connection_queued_after_accepting_ended_is_reset_and_not_forwarded():
     async def scenario(p):
         stopping = asyncio.create_task(p.shell.stop(0.0))
         await asyncio.sleep(0)  # nobody is taken in any more; the socket still listens
@@ -148,7 +148,7 @@
     play(scenario)
 
 
-def test_a_client_taken_in_at_the_very_end_is_answered_or_sees_the_end_and_nothing_of_it_is_sent_on():
+def test_request_after_shutdown_is_discarded_and_not_forwarded():
     """Its request comes after the shutdown: read, thrown away, and never sent on."""
 
     async def scenario(p):
--- a/tests/edge/test_deploy.py
+++ b/tests/edge/test_deploy.py
@@ -43,7 +43,7 @@
     return tmp_path
 
 
-def test_build_leaves_the_byte_code_and_run_writes_none(copied):
+def test_build_writes_all_byte_code_and_run_writes_none(copied):
     """Some 200 processes of a fresh clone each compiled all and queued at the disk to write it, past their time."""
     subprocess.run(DEPLOY["build"].rpartition("&& ")[2], shell=True, cwd=copied, check=True, timeout=60)
     for source in copied.rglob("*.py"):
@@ -67,7 +67,7 @@
     assert "orjson" in found
 
 
-def test_node_and_policy_name_all_that_run_loads():
+def test_node_and_policy_list_every_module_that_run_loads():
     named = [ROOT / path for key in ("node", "policy") for path in DEPLOY[key]]
     own = [Path(file) for name, file, *_ in loaded(ROOT)[0] if name.partition(".")[0] == "rushweir"]
     assert len(own) > 30
@@ -92,7 +92,7 @@
         process.stderr.close()
 
 
-def test_each_file_and_folder_named_is_there_and_loaded():
+def test_each_listed_path_exists_and_is_loaded():
     """A name that nothing of is loaded would be an old one."""
     own = [Path(file) for name, file, *_ in loaded(ROOT)[0] if name.partition(".")[0] == "rushweir"]
     for key in ("node", "policy"):
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -14,7 +14,7 @@
     return data[:-1], data[-1:]
 
 
-def test_half_a_request_at_the_end_becomes_whole_and_is_answered():
+def test_request_completed_during_shutdown_is_answered():
     """It was closed after 50 ms of quiet, as an idle one: its last byte met a closed connection."""
 
     async def scenario(p):
@@ -37,7 +37,7 @@
     play(scenario)
 
 
-def test_half_a_request_that_stays_half_is_told_at_the_very_end():
+def test_incomplete_request_gets_503_when_shutdown_ends():
     async def scenario(p):
         half = await p.client()
         await p.say(half, halves(booking())[0])
@@ -50,7 +50,7 @@
     play(scenario)
 
 
-def test_room_for_a_new_client_is_not_made_of_half_a_request():
+def test_connection_with_an_incomplete_request_is_not_closed_for_a_new_client():
     """It counted as spare, and was cut off: the request whose last byte came then was lost without a word."""
 
     async def scenario(p):
@@ -69,7 +69,7 @@
     play(scenario, most_clients=2)
 
 
-def test_an_idle_time_that_ends_in_the_middle_of_a_request_ends_nothing():
+def test_idle_timeout_during_a_request_closes_nothing():
     async def scenario(p):
         first, last = halves(booking("two"))
         sock = await p.client()
@@ -87,7 +87,7 @@
     play(scenario)
 
 
-def test_a_last_answer_reaches_a_client_that_takes_it_slowly():
+def test_last_answer_reaches_a_slow_reader():
     """After a second its connection was cut with the rest of the answer still on this side."""
 
     async def scenario(p):
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("more", [b"", b"GET / HTTP/1.1\r\nHos", request("three")])
-def test_bytes_after_the_last_request_take_no_answer_with_them(more):
+def test_bytes_after_the_last_request_do_not_reset_its_answer(more):
     """What lies unread when a socket closes resets its connection, and with it what the client has not read yet."""
 
     async def scenario(p):
@@ -119,7 +119,7 @@
     play(scenario)
 
 
-def test_what_waits_behind_another_request_counts_its_time_from_when_it_came(edge):
+def test_pipelined_request_counts_its_deadline_from_its_arrival(edge):
     """It was given its whole time again when its turn came: the client had long given up."""
     conn, up = edge.sent(request("one"))
     edge.say(conn, request("two", Req_Deadline_Ms="300"))
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("name", SAFE)
-def test_each_form_of_a_request_without_a_body_cut_anywhere_is_the_plain_one(name):
+def test_each_form_of_a_request_without_body_parses_like_the_plain_one_at_any_split(name):
     data, plain = SAFE[name], read(PLAIN)
     for cut in range(len(data) + 1):
         assert read(data[:cut], data[cut:]) == plain, cut
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("name", KEPT)
-def test_each_form_of_a_request_with_a_body_cut_anywhere_is_the_plain_one(name):
+def test_each_form_of_a_request_with_body_parses_like_the_plain_one_at_any_split(name):
     data, plain = KEPT[name], read(KEYED)
     assert plain[-1] == b'{"to": 1}'
     for cut in range(len(data) + 1):
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("name", TARGETS)
-def test_each_form_of_a_target_names_the_same_customer_and_goes_on_unchanged(name):
+def test_each_form_of_a_target_has_the_same_customer_and_is_forwarded_unchanged(name):
     data = told(request(customer=CUSTOMER), b"/api?customer=" + CUSTOMER.encode(), TARGETS[name])
     for cut in range(len(data) + 1):
         *_, partner, head, _ = read(data[:cut], data[cut:])
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("first", [PLAIN, KEYED, chunked(b'{"to', b'": 1}')])
-def test_two_requests_in_a_row_cut_anywhere_are_two(first):
+def test_two_pipelined_requests_are_parsed_at_any_split(first):
     """The second comes when the first is answered; its time counts from when it was whole."""
     data = first + told(PLAIN, b"id-1", b"id-2")
     for cut in range(len(data) + 1):
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("tail", [b"0\r\nX: ", b"0\r\n", b"3;", b""])
-def test_what_follows_a_head_without_end_is_bounded(tail):
+def test_endless_trailers_and_chunk_sizes_are_refused_with_431(tail):
     """A trailer's value was gathered as long as it came, 12 MB in a second, and an ingress may have 32."""
     conn = front()
     conn.receive(chunked().partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + tail)
@@ -134,7 +134,7 @@
     assert given <= MAX_FRAMING_BYTES + 4096 and b"HTTP/1.1 431 " in conn.take()[0][0]
 
 
-def test_the_largest_body_in_the_smallest_pieces_that_are_allowed_passes():
+def test_largest_body_in_the_smallest_allowed_chunks_is_accepted():
     body = b"x" * MAX_BODY_BYTES
     pieces = [body[k : k + 9] for k in range(0, len(body), 9)]
     data = told(chunked(*pieces), b"0\r\n\r\n", b"0\r\nX-T: 1\r\n\r\n")
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("name", forms(b"good"))
-def test_each_form_of_an_answer_cut_anywhere_is_the_plain_one(name):
+def test_each_form_of_an_answer_parses_like_the_plain_one_at_any_split(name):
     data = forms(b"good")[name]
     for cut in range(len(data) + 1):
         reader = AnswerReader()
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(("status", "more"), [("503 No", "Srv-Declined: 1 \t\r\n"), ("504", "srv-declined:1\r\n")])
-def test_a_backend_that_turns_away_does_so_in_each_form(edge, status, more):
+def test_backend_refusal_is_recognized_in_each_form(edge, status, more):
     _, up = edge.sent()
     data = answer(b"", status, more)
     for k in range(len(data)):
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("body", [orjson.dumps(LIST), INDENTED], ids=["compact", "indented"])
 @pytest.mark.parametrize("name", forms(b"good"))
-def test_each_form_of_a_list_cut_anywhere_is_the_plain_one(name, body):
+def test_each_form_of_a_list_parses_like_the_plain_one_at_any_split(name, body):
     data, got = forms(body)[name], []
     for cut in range(len(data) + 1):
         members = Members(("10.9.0.1", 8500), 1, {}, lambda _: 1, lambda *_: None)
@@ -205,7 +205,7 @@
     assert all([s.address for s in servers] == ["s-1", "s-2", "s-3"] for _, servers in got)
 
 
-def test_an_answer_whose_trailers_never_end_is_spoilt():
+def test_answer_with_endless_trailers_is_malformed():
     reader = AnswerReader()
     reader.expect()
     reader.receive(in_chunks(b"good")[:-2] + b"X: ")
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_an_attempt_tells_its_backend_what_is_left_to_the_client(way):
+def test_attempt_sends_the_remaining_time_of_its_client(way):
     """Never more than that, and less only by the margin in which the answer has to leave."""
     edge, (play, attempts) = made(way), WAYS[way]
     play(edge)
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.parametrize("play", HANGING, ids=lambda play: play.__name__)
-def test_each_request_has_its_answer_when_its_time_is_up_whatever_it_hangs_on(play):
+def test_every_request_is_answered_by_its_deadline_whatever_it_waits_for(play):
     """One in 500 may have none, by the platform; here each has one, before its client's time is over."""
     edge = made(play.__name__)
     play(edge)
@@ -349,7 +349,7 @@
 @pytest.mark.parametrize("keyed", [False, True])
 @pytest.mark.parametrize("seen", ["read", "not read yet"])
 @pytest.mark.parametrize("then", LATER)
-def test_for_a_client_that_is_gone_nothing_more_is_sent(then, seen, keyed):
+def test_no_further_attempt_for_a_disconnected_client(then, seen, keyed):
     """Not a first attempt that waits, nor a further one, whether its end was read or lies on the socket."""
     edge, (out, play) = Timed(), LATER[then]
     if then == "silent":
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("how", ["FIN", "reset"])
-def test_nothing_is_sent_for_a_client_that_left_while_its_request_waited_for_a_dial(how):
+def test_no_attempt_for_a_client_that_disconnected_during_the_dial(how):
     """The attempt stayed in the pool's queue and went out when the dial came up, a quarter of a second later."""
 
     async def scenario(p):
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("how", ["FIN", "reset"])
-def test_no_further_attempt_for_a_client_whose_end_is_not_read_yet(how):
+def test_no_retry_for_a_client_whose_disconnect_is_not_read_yet(how):
     """In one turn of the loop: the client's end is on the socket, and the attempt that was out breaks."""
 
     async def scenario(p):
@@ -61,7 +61,7 @@
     play(scenario)
 
 
-def test_no_first_attempt_either_when_request_and_end_come_together():
+def test_no_attempt_when_request_and_disconnect_arrive_together():
     async def scenario(p):
         sock = await p.client()
         sock.sendall(request())
@@ -72,7 +72,7 @@
     play(scenario)
 
 
-def test_a_client_that_takes_nothing_of_its_answers_is_seen_to_leave():
+def test_disconnect_of_a_client_that_reads_no_answers_is_noticed():
     """Reading was paused for it: its FIN lay behind, and the request that it had sent ahead went out."""
 
     async def scenario(p):
@@ -94,7 +94,7 @@
     play(scenario, count=1)
 
 
-def test_a_client_that_ended_its_sending_and_takes_nothing_gives_its_descriptor_back():
+def test_half_closed_client_that_reads_nothing_releases_its_descriptor():
     """Its transport waited for ever to hand over what was left: no timer ended it, and no bound counted it."""
 
     async def scenario(p):
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("version", [7, 9])
 @pytest.mark.parametrize("how", ["first answer", "watch"])
 @pytest.mark.parametrize("state", ["dialing", "resting", "idle", "busy"])
-def test_what_a_whole_list_does_not_name_gets_nothing_new_though_it_answers(edge, state, how, version):
+def test_backend_missing_from_a_full_list_gets_no_new_requests(edge, state, how, version):
     """Also where the version is the one held: a list that leaves out is as new as one that names."""
     source = up(edge)
     if how == "watch":
@@ -72,7 +72,7 @@
     assert hosts and gone not in hosts and not [o for o in edge.seen[before:] if getattr(o, "conn", 0) == link]
 
 
-def test_a_whole_list_without_any_leaves_nobody_and_the_next_one_serves_at_once(edge):
+def test_empty_full_list_refuses_requests_until_the_next_list(edge):
     source = up(edge)
     edge.say(source, page(8, full=True))
     conn = edge.connect()
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["good", *TROUBLES])
-def test_a_watch_that_ends_instead_of_telling_costs_a_call_and_the_list_leaves_out(edge, trouble):
+def test_watch_that_ends_without_an_answer_costs_one_call(edge, trouble):
     """The watch is reset when there is something to tell, and what is told is told by leaving out."""
     source = up(edge)
     edge.say(source, answer(orjson.dumps(LIST)))
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("term_ms", [None, -2_200.0, -700.0, -1.0, 0.0, 1.0, 700.0, 2_200.0, 2_300.0])
-def test_a_watch_that_falls_silent_after_13_s_is_found_also_close_to_sigterm(edge, trouble, term_ms):
+def test_watch_silent_after_13_s_is_detected_also_around_sigterm(edge, trouble, term_ms):
     """The silence is one thing, the end another: an ingress that ends is told as before, since it still sends on."""
     source = up(edge)
     edge.say(source, answer(orjson.dumps(LIST)))
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("state", ["dialing", "resting", "idle", "busy"])
-def test_what_was_told_to_drain_drains_on_through_a_reload(edge, state):
+def test_draining_backend_keeps_draining_through_a_reload(edge, state):
     """The whole list as it is held is put to module and pool anew: nothing of it comes back."""
     source = up(edge)
     edge.say(source, answer(orjson.dumps(LIST)))
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("trouble", ["good", *TROUBLES])
 @pytest.mark.parametrize("told", ["Terminating", "left out"])
-def test_a_drain_that_only_the_new_discovery_knows_holds_in_time(edge, told, trouble):
+def test_drain_known_to_the_new_discovery_only_applies_in_time(edge, told, trouble):
     source = up(edge)
     edge.say(source, answer(orjson.dumps(LIST)))
     agent = Agent(edge, [trouble, "good"])
@@ -180,7 +180,7 @@
     assert source in edge.closed and took <= 2 * (CONNECT_MS + LATE_MS) + 2 * PAUSE_MS[0] <= 3_000.0
 
 
-def test_a_new_discovery_whose_versions_begin_lower_and_that_leaves_out_holds_in_time(edge):
+def test_omission_by_a_new_discovery_with_lower_versions_applies_in_time(edge):
     """Its list looks older than the one held: what it lacks is held back a second later."""
     source = up(edge)
     edge.say(source, answer(orjson.dumps(LIST)))
@@ -196,7 +196,7 @@
 # --- calls ---------------------------------------------------------------------------------------------
 
 
-def test_a_discovery_that_closes_after_each_answer_is_asked_as_seldom_as_one_that_stays():
+def test_discovery_that_closes_after_each_answer_is_called_as_rarely_as_others():
     """Each new connection began with a call that does not wait: 500 calls a second, as fast as they were answered."""
     edge = Edge()
     empty = {"version": 7, "full": False, "servers": []}
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -27,7 +27,7 @@
     return answer(orjson.dumps({"version": version, "full": full, "servers": entries}))
 
 
-def test_the_whole_list_then_a_watch_that_goes_on_at_once(edge):
+def test_full_list_is_followed_by_a_continuous_watch(edge):
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
     edge.say(conn, page(8, {**LIST["servers"][0], "state": "Terminating"}))
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_after_an_answer_that_can_t_be_used_the_list_stands_and_is_asked_for_again(edge, name):
+def test_unusable_answer_keeps_the_list_and_is_asked_again(edge, name):
     conn = up(edge)
     edge.say(conn, BAD[name])
     edge.pass_ms(1500.0)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("full", [True, False])
 @pytest.mark.parametrize("name", ODD)
-def test_an_odd_entry_bars_its_own_backend_and_the_others_changes_hold(edge, name, full):
+def test_malformed_entry_drains_only_its_own_backend(edge, name, full):
     """The whole list was refused for it: what it told of all others did not hold, for as long as it stood there."""
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("order", [1, -1])
-def test_of_two_words_on_one_backend_the_one_that_asks_for_less_holds(edge, order):
+def test_of_two_entries_for_a_backend_the_draining_one_applies(edge, order):
     words = [FIRST, {**FIRST, "state": "Terminating"}][::order]
     edge.say(up(edge), page(8, *words, *LIST["servers"][1:], full=True))
     assert [edge.core.nodes.held[k].state.value for k in ("s-1", "s-2")] == ["draining", "ready"]
@@ -89,7 +89,7 @@
     return {a: s.state.value for a, s in edge.core.nodes.held.items()}
 
 
-def test_what_an_older_list_holds_back_is_held_back_at_once_and_what_it_lacks_soon(edge):
+def test_older_list_drains_at_once_and_its_omissions_apply_after_a_second(edge):
     """It was refused whole for 10 s; a change counts as told after 6."""
     second, third = LIST["servers"][1:]
     older = page(3, {**FIRST, "state": "Terminating"}, {**second, "started_ms": 9_000}, full=True)
@@ -104,7 +104,7 @@
     assert edge.now - began <= STALE_MS + 2 * PAUSE_MS[1]
 
 
-def test_what_only_an_older_list_offers_is_not_taken(edge):
+def test_backend_ready_in_an_older_list_only_stays_draining(edge):
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
     edge.say(conn, page(8, {**FIRST, "state": "Terminating"}))
@@ -115,7 +115,7 @@
         assert states(edge)["s-1"] == "draining"
 
 
-def test_changes_to_an_older_list_are_no_list_and_the_whole_is_asked_for(edge):
+def test_delta_to_an_older_list_is_refused_and_the_full_list_requested(edge):
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
     edge.say(conn, page(3, {**FIRST, "state": "Gone"}))
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_change_is_held_in_time_whatever_went_wrong_once(edge, trouble):
+def test_change_applies_in_time_after_any_single_fault(edge, trouble):
     """Two waits of 3 s each, a dial and a pause came to 6.5 s: the drain counted as told before."""
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("before", [0.0, 100.0, 1_000.0, 2_300.0, 2_600.0, 3_100.0])
-def test_after_sighup_a_change_is_held_in_time_whatever_was_going_on(edge, trouble, before):
+def test_change_after_sighup_applies_in_time_after_any_fault(edge, trouble, before):
     """Also where the address stays the same: only another one was asked at once."""
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
@@ -197,7 +197,7 @@
     assert agent.run(10_000.0, lambda: states(edge)["s-1"] == "draining") <= 3_000.0
 
 
-def test_discovery_that_returns_is_asked_within_the_shortest_grace(edge):
+def test_returning_discovery_is_called_within_the_shortest_grace(edge):
     """What the agent gets at its return counts at once, and a backend's grace may be a quarter of a second."""
     edge.core.dial_failed(edge.now, edge.core.list.conn)
     edge.turn()
@@ -212,7 +212,7 @@
     assert edge.now - began <= PAUSE_MS[1] <= 250.0
 
 
-def test_an_older_list_that_stays_is_the_list_s_new_life(edge):
+def test_older_list_that_persists_is_accepted(edge):
     for _ in range(200):
         if edge.core.list.state == "dialing":
             edge.say(up(edge), page(3, LIST["servers"][0], full=True))
@@ -220,25 +220,25 @@
     assert list(edge.core.nodes.held) == ["s-1"] and edge.core.list.version == 3
 
 
-def test_an_unknown_state_gets_no_new_work(edge):
+def test_backend_in_an_unknown_state_gets_no_new_requests(edge):
     edge.say(up(edge), page(8, {**LIST["servers"][0], "state": "Odd"}, *LIST["servers"][1:], full=True))
     assert edge.core.nodes.held["s-1"].state.value == "draining" and edge.core.list.remarks == []
     assert edge.core.nodes.held["s-2"].state.value == "ready"
 
 
-def test_an_agent_that_fell_silent_is_found_soon_after_the_wait(edge):
+def test_silent_agent_is_detected_soon_after_the_wait(edge):
     conn = up(edge)
     edge.say(conn, answer(orjson.dumps(LIST)))
     edge.pass_ms(3500.0)
     assert conn in edge.closed and edge.core.list.counts["silent"] == 1
 
 
-def test_a_known_list_that_can_t_be_read_is_an_error():
+def test_invalid_known_list_is_an_error():
     with pytest.raises(ValueError, match="version"):
         Edge(known={"servers": []})
 
 
-def test_peers_are_known_by_their_addresses():
+def test_peers_are_identified_by_their_addresses():
     a, b = ("10.0.0.1", 7946), ("10.0.0.2", 7946)
     peers = Peers(0, [a, b])
     assert peers.pack(0.0, 1, "x" * 256) == b"x" * 256 and peers.pack(0.0, 1, "x" * 257) is None
@@ -247,7 +247,7 @@
     assert peers.unpack(0.0, b"\xff", b) is None
 
 
-def test_the_sums_of_the_page_are_those_of_the_constants():
+def test_figures_in_the_page_match_the_constants():
     rows = dict(
         reversed([cell.strip() for cell in line.strip("| \n").rsplit("|", 1)])
         for line in (Path(__file__).parents[2] / "docs" / "edge.md").read_text().splitlines()
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_owed.py
@@ -25,7 +25,7 @@
 HUNT = settings(SURE, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
 
 
-def test_nothing_owed_is_lost():
+def test_every_request_is_answered_under_any_order_of_events():
     run_state_machine_as_test(Orders, settings=SURE)
 
 
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("plant", PLANTED, ids=lambda p: p.__name__)
-def test_a_planted_fault_is_found(monkeypatch, plant):
+def test_injected_fault_is_detected(monkeypatch, plant):
     plant(monkeypatch)
     with pytest.raises(AssertionError) as found:
         run_state_machine_as_test(Orders, settings=HUNT)
--- a/tests/edge/test_pages.py
+++ b/tests/edge/test_pages.py
@@ -23,7 +23,7 @@
                 yield file, found[2]
 
 
-def test_each_test_that_the_page_names_is_there():
+def test_every_test_named_in_the_page_exists():
     found = list(named((ROOT / "docs" / "endings.md").read_text()))
     assert len(found) > 70
     for file, name in found:
--- a/tests/edge/test_process.py
+++ b/tests/edge/test_process.py
@@ -165,7 +165,7 @@
     asyncio.run(play())
 
 
-def test_it_serves_and_a_kept_connection_serves_again(tmp_path):
+def test_requests_on_one_connection_are_served_over_one_backend_connection(tmp_path):
     async def scenario(p):
         conn = await asyncio.open_connection("127.0.0.1", p.port)
         for n in range(3):
@@ -176,7 +176,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_sighup_moves_to_another_discovery_and_a_bad_file_changes_nothing(tmp_path):
+def test_sighup_switches_discovery_and_refuses_an_invalid_file(tmp_path):
     async def scenario(p):
         p.path.write_bytes(b'{"name": ')
         p.process.send_signal(signal.SIGHUP)
@@ -204,7 +204,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path):
+def test_after_sigterm_open_and_new_requests_are_answered(tmp_path):
     async def scenario(p):
         under_way = await p.under_way(request("one"))
         p.process.send_signal(signal.SIGTERM)
@@ -230,7 +230,7 @@
     (orjson.dumps({"settings": OPTIONS, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1",
                    "limits": {"sockets": 20}}), "limits.sockets"),
 ])  # fmt: skip
-def test_a_bad_configuration_ends_with_one_line(tmp_path, page, said):
+def test_invalid_configuration_exits_with_one_line(tmp_path, page, said):
     async def play():
         (tmp_path / "config.json").write_bytes(page)
         process = await launch(tmp_path / "config.json")
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("limits", [{"cores": 0.1, "memory_mb": 32, "sockets": 56}, {"sockets": 1024}])
-def test_it_starts_among_230_peers_and_1024_servers(tmp_path, limits):
+def test_ingress_starts_with_230_peers_and_1024_servers(tmp_path, limits):
     """No list of either is capped below that, also at the least descriptors that an ingress can do with."""
 
     async def scenario(p):
@@ -258,7 +258,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_peers_that_are_fewer_than_the_instances_are_no_reason_not_to_start(tmp_path):
+def test_ingress_starts_with_fewer_peers_than_instances(tmp_path):
     """The settings and the addresses come from two places: who has no address is not told, and all else serves."""
 
     async def scenario(p):
@@ -273,7 +273,7 @@
 @pytest.mark.parametrize(
     ("told", "held"), [({"connIdleMs": "9000"}, 9000.0), ({"connIdleMs": 0}, 15_000.0), ({}, 15_000.0)]
 )
-def test_the_idle_time_of_connections_is_a_number_above_nothing(tmp_path, told, held):
+def test_idle_time_of_zero_is_replaced_by_the_default(tmp_path, told, held):
     """It is read once, for module and pool; with 0 the pool's next look at its connections was due at once."""
     page = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": OPTIONS | {"ceilings": told}}
     (tmp_path / "config.json").write_bytes(orjson.dumps(page))
--- a/tests/edge/test_shell.py
+++ b/tests/edge/test_shell.py
@@ -14,7 +14,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def test_a_dial_given_up_gives_its_descriptor_back_at_once():
+def test_aborted_dial_closes_its_descriptor_at_once():
     """It went on until it came up or its time was over, and no bound counted it."""
 
     async def scenario(p):
--- a/tests/edge/test_signals.py
+++ b/tests/edge/test_signals.py
@@ -25,7 +25,7 @@
         await asyncio.sleep(0)
 
 
-def test_sighup_while_the_program_loads_is_a_reload_once_it_serves(tmp_path):
+def test_sighup_during_imports_reloads_once_the_ingress_serves(tmp_path):
     """The system's own answer to it is to end the process; handlers stood only once the loop ran."""
 
     async def scenario(p):
@@ -41,7 +41,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_sigterm_while_the_program_loads_ends_it_in_order(tmp_path):
+def test_sigterm_during_imports_shuts_down_cleanly(tmp_path):
     async def scenario(p):
         await end(p.process)
         p.process = await launch(p.path)
@@ -53,7 +53,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_a_second_sigterm_and_a_late_sighup_cut_nothing_off(tmp_path):
+def test_second_sigterm_and_late_sighup_interrupt_no_request(tmp_path):
     """While it ends, discovery may move: what the new one tells counts as before."""
 
     async def scenario(p):
@@ -81,7 +81,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_a_reload_without_the_class_of_an_open_request_answers_it_and_refuses_the_next(tmp_path):
+def test_reload_without_a_class_answers_its_open_request_and_refuses_new_ones(tmp_path):
     async def scenario(p):
         under_way = await p.under_way(booking("one"))
         plans = [{"name": "other", "unitsPerS": 5.0, "storeSize": 5.0}]
@@ -97,7 +97,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_a_refused_reload_leaves_all_as_it_was(tmp_path):
+def test_refused_reload_changes_nothing(tmp_path):
     async def scenario(p):
         for settings, said in (
             (OPTIONS | {"classes": [{"name": "x", "aimMs": "soon"}]}, "classes[0].aimMs: a number"),
@@ -112,7 +112,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_descriptors_full_of_idle_clients_while_discovery_is_down_and_it_returns(tmp_path):
+def test_returning_discovery_and_a_new_client_get_descriptors_among_idle_clients(tmp_path):
     """The watch, a dial and a new client each find a descriptor; the limit is the system's own."""
 
     async def scenario(p):
@@ -154,7 +154,7 @@
     with_platform(tmp_path, scenario)
 
 
-def test_many_that_start_at_once_are_ready_in_time(tmp_path):
+def test_sixteen_processes_started_at_once_are_ready_within_10_s(tmp_path):
     """Two on each core, as a fleet that restarts together; each has to answer its health call within 10 s."""
 
     async def scenario(p):
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("servers", [None, [], [e | {"state": "Terminating"} for e in LIST["servers"]]])
-def test_without_a_server_all_is_turned_away_until_the_list_has_one(servers):
+def test_without_a_ready_server_requests_are_refused_until_the_list_has_one(servers):
     """No list yet, an empty one, all draining: as long as the list stands so, and no longer."""
     edge = Busy(MADE, known=None)
     if servers is not None:
@@ -89,7 +89,7 @@
     assert edge.play(1_000.0) <= STEP_MS
 
 
-def test_after_its_own_overload_it_takes_requests_again_soon():
+def test_requests_are_accepted_soon_after_an_overload():
     """A turn of 20 s, as long as the platform lets a thread run: nothing is taken, and then within two seconds."""
     edge = Busy(MADE)
     edge.play(1_000.0)
@@ -101,7 +101,7 @@
     assert 500.0 < shut <= 2_000.0 + STEP_MS
 
 
-def test_while_turns_stay_late_all_is_turned_away_and_two_seconds_later_none():
+def test_requests_are_refused_while_the_loop_lags_and_accepted_two_seconds_later():
     edge = Busy(MADE)
     for _ in range(60):
         edge.now += 500.0 + BEAT_MS  # each turn takes half a second
@@ -113,7 +113,7 @@
     assert edge.play(4_000.0) <= 1_000.0 + STEP_MS
 
 
-def test_at_its_worst_overload_takes_nothing_also_on_connections_that_are_open():
+def test_full_overload_refuses_requests_on_open_connections():
     edge = Busy(MADE)
     conn = edge.connect()
     edge.core.overload.delay_ms = edge.core.overload.most
@@ -121,7 +121,7 @@
     assert edge.statuses(conn) == [503] and edge.core.engine.refusals == {"overloaded": 1}
 
 
-def test_a_customer_over_its_ceiling_is_turned_away_and_the_others_are_not():
+def test_only_the_customer_over_its_ceiling_is_refused():
     """After a start a ceiling counts as spent: the first request goes when its part has filled by that much."""
     edge = Busy(MADE)
     edge.plan = "capped"
@@ -131,7 +131,7 @@
     assert edge.play(1_000.0) <= STEP_MS
 
 
-def test_with_the_ledger_full_all_is_turned_away_until_the_first_of_it_is_over():
+def test_full_ledger_refuses_requests_until_an_entry_ends():
     edge = Busy(replace(MADE, limits=replace(MADE.limits, max_open=3)))
     edge.stuck = {b"stuck"}
     for k in range(3):
@@ -140,7 +140,7 @@
     assert edge.play(3_000.0) <= WITHIN + STEP_MS <= ALLOWED_MS
 
 
-def test_with_all_connections_to_backends_busy_all_is_turned_away_until_the_first_is_free():
+def test_busy_backend_connections_refuse_requests_until_one_is_free():
     edge = Busy(MADE, pool=PoolSettings(2))
     edge.policy.room.finished.add(400.0, edge.now)
     edge.policy.room.partition(3, edge.now)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "units", "out_ms"), [(5, 3, 1_800.0), (30, 3, 400.0), (30, 9, 1_800.0)])
-def test_after_a_long_request_in_a_small_room_it_is_shut_until_its_debt_is_paid(gateways, units, out_ms):
+def test_requests_are_refused_until_the_deficit_of_a_long_request_is_paid_back(gateways, units, out_ms):
     """What was in flight beyond the room is paid back at the room's pace. The debt is MEMORY_MS times the mean
     request at most, and the room never less than a start's. With three servers to five ingresses that is no time;
     where thirty ingresses share three servers it is longer than 4 s (14.8 s after nine units): docs/endings.md."""
@@ -178,7 +178,7 @@
     assert (shut > 1_000.0) is (gateways > 5) and (shut > ALLOWED_MS) is (units > 3)
 
 
-def test_no_debt_of_the_room_is_larger_than_its_bound():
+def test_capacity_deficit_is_limited():
     """However many were out for however long: what is owed is forgotten beyond that."""
     edge = Busy(replace(MADE, gateways=30, classes=CLASSES[:1]))
     room = edge.policy.room
