--- a/tests/edge/live.py
+++ b/tests/edge/live.py
@@ -1,5 +1,6 @@
-"""One ingress on real sockets in the test's own loop, with stand-ins of backends around it: whatever a test does
-without awaiting happens within one turn of the ingress's loop."""
+"""Harness with one ingress on real sockets in the test's own event loop, and stand-ins for its backends.
+
+Whatever a test does without awaiting happens within one turn of the loop."""
 
 from __future__ import annotations
 
@@ -13,11 +14,11 @@
 from rushweir.ingress.shell import Clock, Shell
 from rushweir.policy import Policy
 from tests.edge.conftest import SETTINGS, answer
-from tests.edge.test_process import Standin
+from tests.edge.test_process import StandInServer
 
 
 class GatedShell(Shell):
-    """Dials wait for the test's word before they begin, and the last timers of connections for the test's hand."""
+    """A shell whose dials wait for ``gate``, and whose timers for closing connections the test fires."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -33,13 +34,13 @@
         self.lingering.append(args)
 
     def end_linger(self):
-        """The time for a connection's last bytes is over, now."""
+        """Fires the timer that ends the wait for a connection's last bytes."""
         args, self.lingering = self.lingering[0], self.lingering[1:]
         super().linger(*args)
 
 
 class Live:
-    """``async with Live() as p``: the ingress is ``p.core`` and ``p.shell``, ``p.backends`` its stand-ins."""
+    """``async with Live() as live``: ``core`` and ``shell`` are the ingress, ``backends`` its stand-ins."""
 
     def __init__(self, count=2, settings=SETTINGS, **setup):
         self.count, self.settings, self.more = count, settings, setup
@@ -51,7 +52,7 @@
         writer.write(answer(self.body))
 
     async def __aenter__(self):
-        self.backends = [await Standin(self._answer).open() for _ in range(self.count)]
+        self.backends = [await StandInServer(self._answer).open() for _ in range(self.count)]
         clock = Clock()
         made = {"discovery": ("127.0.0.1", 9), "pool": PoolSettings(16), "boot": "t", "keep_list": False}
         made |= {"handshake_ms": 2_000.0, "http_idle_ms": IDLE_MS} | self.more
@@ -72,10 +73,10 @@
         for backend in self.backends:
             backend.close()
 
-    # --- what a test does and sees
+    # --- what a test does and observes
 
     async def client(self, receive=None):
-        """A client's socket, whose every call is the test's own."""
+        """Returns a connected client socket."""
         sock = socket.socket()
         if receive is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -87,7 +88,7 @@
         return sock
 
     async def slow_client(self):
-        """A client that takes little at a time: its socket, and the core's and the shell's side of it."""
+        """Returns a client with small buffers: its socket, the core's client and the shell's transport."""
         sock = await self.client(receive=4096)
         client = self.core.clients.open[max(self.core.clients.open)]
         transport = self.shell.transports[client.conn]
@@ -103,7 +104,7 @@
         await self.shell.loop.sock_sendall(sock, data)
 
     async def read(self, sock):
-        """One whole answer."""
+        """Reads one answer and returns its status and body."""
         loop, got = self.shell.loop, b""
         async with asyncio.timeout(10):
             while b"\r\n\r\n" not in got:
@@ -118,17 +119,17 @@
         return int(head[9:12]), body
 
     def heads(self):
-        """What reached the backends."""
+        """Returns the request heads that reached the backends."""
         return [head for b in self.backends for head in b.heads]
 
     def served(self):
         return self.core.engine.counts["served"]
 
 
-def play(scenario, **live):
+def run_scenario(scenario, **options):
     async def run():
         async with asyncio.timeout(30):
-            async with Live(**live) as p:
-                await scenario(p)
+            async with Live(**options) as live:
+                await scenario(live)
 
     asyncio.run(run())
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -17,7 +17,7 @@
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import LINGER_MS
 from tests.edge.conftest import Edge, answer, booking, request
-from tests.edge.live import play
+from tests.edge.live import run_scenario
 
 COMES_MS = 400.0  # after SIGTERM new connections keep coming for so long, by the platform's page
 
@@ -110,56 +110,56 @@
     """As many as one turn of the loop takes in connected and asked while it did something else, and then the end
     begins. The queue of later ones is reset: by the platform nobody comes any more for 0.3 s by then."""
 
-    async def scenario(p):
+    async def scenario(live):
         socks = []
         for k in range(16):
-            sock = socket.create_connection(("127.0.0.1", p.port))  # no await: nobody accepts it
+            sock = socket.create_connection(("127.0.0.1", live.port))  # no await: nobody accepts it
             sock.sendall(request(f"r{k}"))
             sock.setblocking(False)
             socks.append(sock)
-        p.clients += socks
-        assert p.core.counts["accepted"] == 0
+        live.clients += socks
+        assert live.core.counts["accepted"] == 0
         await asyncio.sleep(0)  # the turn in which they are taken in
-        p.core.leave(p.shell.clock(), p.core.setup.settings)
-        p.shell.carry_out()
-        stopping = asyncio.create_task(p.shell.stop(3_000.0))
-        statuses = [(await p.read(sock))[0] for sock in socks]
-        assert len(statuses) == 16 and set(statuses) <= {200, 503} and p.core.counts["accepted"] == 16
+        live.core.leave(live.shell.clock(), live.core.setup.settings)
+        live.shell.carry_out()
+        stopping = asyncio.create_task(live.shell.stop(3_000.0))
+        statuses = [(await live.read(sock))[0] for sock in socks]
+        assert len(statuses) == 16 and set(statuses) <= {200, 503} and live.core.counts["accepted"] == 16
         for sock in socks:
             sock.close()
         assert await stopping is True
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_queued_after_accepting_ended_is_reset_and_not_forwarded():
-    async def scenario(p):
-        stopping = asyncio.create_task(p.shell.stop(0.0))
+    async def scenario(live):
+        stopping = asyncio.create_task(live.shell.stop(0.0))
         await asyncio.sleep(0)  # nobody is taken in any more; the socket still listens
-        sock = socket.create_connection(("127.0.0.1", p.port))
+        sock = socket.create_connection(("127.0.0.1", live.port))
         sock.sendall(request("late"))
         await stopping
         sock.settimeout(5)
         with pytest.raises(ConnectionResetError):
             sock.recv(1)
         sock.close()
-        assert not p.heads() and not p.core.counts["accepted"]
+        assert not live.heads() and not live.core.counts["accepted"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_after_shutdown_is_discarded_and_not_forwarded():
     """Its request comes after the shutdown: read, thrown away, and never sent on."""
 
-    async def scenario(p):
-        sock = await p.client()
-        client = next(iter(p.core.clients.open.values()))
-        stopping = asyncio.create_task(p.shell.stop(0.0))
-        assert await p.shell.loop.sock_recv(sock, 1) == b""
+    async def scenario(live):
+        sock = await live.client()
+        client = next(iter(live.core.clients.open.values()))
+        stopping = asyncio.create_task(live.shell.stop(0.0))
+        assert await live.shell.loop.sock_recv(sock, 1) == b""
         sock.sendall(request("late"))
-        await p.until(lambda: client.drained)
+        await live.until(lambda: client.drained)
         sock.close()
         assert await stopping is True
-        assert not p.heads() and not p.core.engine.counts["requests"]
+        assert not live.heads() and not live.core.engine.counts["requests"]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/edge/test_deploy.py
+++ b/tests/edge/test_deploy.py
@@ -1,4 +1,4 @@
-"""The lines of deploy/balancer.toml against what they start."""
+"""Tests that the lines of deploy/balancer.toml match what they start."""
 
 from __future__ import annotations
 
@@ -37,28 +37,28 @@
 
 @pytest.fixture
 def copied(tmp_path):
-    """A clone: the sources as they are, no byte code, and the interpreter where the build leaves one."""
+    """A clone: the sources without byte code, and the interpreter where the build puts one."""
     shutil.copytree(ROOT / "rushweir", tmp_path / "rushweir", ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv").symlink_to(sys.prefix)
     return tmp_path
 
 
 def test_build_writes_all_byte_code_and_run_writes_none(copied):
-    """Some 200 processes of a fresh clone each compiled all and queued at the disk to write it, past their time."""
+    """About 200 processes of a fresh clone each compiled everything, wrote it to one disk, and started late."""
     subprocess.run(DEPLOY["build"].rpartition("&& ")[2], shell=True, cwd=copied, check=True, timeout=60)
     for source in copied.rglob("*.py"):
-        source.touch()  # a copy of the built tree has other times
+        source.touch()  # a copy of the built tree has other modification times
     before = {p: p.stat().st_mtime_ns for p in copied.rglob("*.pyc")}
     assert " -B " in DEPLOY["run"]
     _, said = loaded(copied, "-B", "-v")
     own = [line for line in said.splitlines() if "code object from" in line and str(copied / "rushweir") in line]
     assert [line for line in own if ".pyc" not in line] == []
-    assert len(own) > 30  # each was read from its byte code
+    assert len(own) > 30  # each was loaded from its byte code
     assert {p: p.stat().st_mtime_ns for p in copied.rglob("*.pyc")} == before
 
 
 def test_build_installs_what_run_imports():
-    """hdrhistogram stood among the requirements of the whole program only: no ingress started from a clean build."""
+    """hdrhistogram was in the requirements of the whole program only, and no ingress started from a clean build."""
     wanted = (ROOT / "requirements.txt").read_text() + (ROOT / "requirements-edge.txt").read_text()
     names = {n.lower() for n in re.findall(r"(?m)^([\w.-]+)==", wanted)}
     dists = metadata.packages_distributions()
@@ -75,7 +75,7 @@
 
 
 def test_run_is_one_process_linked_against_the_c_library(copied):
-    """The platform loads a library into it, and refuses it other programs: the shell gives way to the interpreter."""
+    """The platform preloads a library and allows no other program, so the shell must exec the interpreter."""
     page = {"listen": f"127.0.0.1:{free_port()}", "discovery": "127.0.0.1:9", "settings": OPTIONS}
     (copied / "config.json").write_bytes(orjson.dumps(page))
     env = {**os.environ, "EDGE_CONFIG": str(copied / "config.json")}
@@ -93,7 +93,7 @@
 
 
 def test_each_listed_path_exists_and_is_loaded():
-    """A name that nothing of is loaded would be an old one."""
+    """A listed path of which nothing is loaded would be out of date."""
     own = [Path(file) for name, file, *_ in loaded(ROOT)[0] if name.partition(".")[0] == "rushweir"]
     for key in ("node", "policy"):
         for path in DEPLOY[key]:
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.edge.conftest import booking, request
-from tests.edge.live import play
+from tests.edge.live import run_scenario
 
 
 def halves(data):
@@ -17,106 +17,106 @@
 def test_request_completed_during_shutdown_is_answered():
     """It was closed after 50 ms of quiet, as an idle one: its last byte met a closed connection."""
 
-    async def scenario(p):
+    async def scenario(live):
         first, last = halves(booking())
-        half, idle = await p.client(), await p.client()
-        await p.say(half, first)
-        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
-        p.core.leave(p.shell.clock(), p.core.setup.settings)
-        p.shell.carry_out()
-        assert await p.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
-        stopping = asyncio.create_task(p.shell.stop(3_000.0))
-        await p.until(lambda: p.core.stopping)
-        await p.say(half, last)
-        assert await p.read(half) == (200, b"served")
-        assert await p.shell.loop.sock_recv(half, 1) == b""
+        half, idle = await live.client(), await live.client()
+        await live.say(half, first)
+        await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
+        live.core.leave(live.shell.clock(), live.core.setup.settings)
+        live.shell.carry_out()
+        assert await live.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
+        stopping = asyncio.create_task(live.shell.stop(3_000.0))
+        await live.until(lambda: live.core.stopping)
+        await live.say(half, last)
+        assert await live.read(half) == (200, b"served")
+        assert await live.shell.loop.sock_recv(half, 1) == b""
         for sock in (half, idle):
             sock.close()
         assert await stopping is True
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_incomplete_request_gets_503_when_shutdown_ends():
-    async def scenario(p):
-        half = await p.client()
-        await p.say(half, halves(booking())[0])
-        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
-        stopping = asyncio.create_task(p.shell.stop(0.0))
-        assert (await p.read(half))[0] == 503
+    async def scenario(live):
+        half = await live.client()
+        await live.say(half, halves(booking())[0])
+        await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
+        stopping = asyncio.create_task(live.shell.stop(0.0))
+        assert (await live.read(half))[0] == 503
         half.close()
         await stopping
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_with_an_incomplete_request_is_not_closed_for_a_new_client():
     """It counted as spare, and was cut off: the request whose last byte came then was lost without a word."""
 
-    async def scenario(p):
+    async def scenario(live):
         first, last = halves(booking())
-        half = await p.client()
-        await p.say(half, first)
-        await p.until(lambda: any(k.front.partial_message for k in p.core.clients.open.values()))
-        idle = await p.client()
-        for client in p.core.clients.open.values():
+        half = await live.client()
+        await live.say(half, first)
+        await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
+        idle = await live.client()
+        for client in live.core.clients.open.values():
             client.quiet_at -= 1_000.0  # both are quiet for long; the half one for longer
-        await p.client()
-        assert await p.shell.loop.sock_recv(idle, 1) == b""
-        await p.say(half, last)
-        assert (await p.read(half))[0] == 200
+        await live.client()
+        assert await live.shell.loop.sock_recv(idle, 1) == b""
+        await live.say(half, last)
+        assert (await live.read(half))[0] == 200
 
-    play(scenario, most_clients=2)
+    run_scenario(scenario, most_clients=2)
 
 
 def test_idle_timeout_during_a_request_closes_nothing():
-    async def scenario(p):
+    async def scenario(live):
         first, last = halves(booking("two"))
-        sock = await p.client()
-        await p.say(sock, request("one"))
-        assert (await p.read(sock))[0] == 200
-        client = next(iter(p.core.clients.open.values()))
-        await p.say(sock, first)
-        await p.until(lambda: client.front.partial_message)
+        sock = await live.client()
+        await live.say(sock, request("one"))
+        assert (await live.read(sock))[0] == 200
+        client = next(iter(live.core.clients.open.values()))
+        await live.say(sock, first)
+        await live.until(lambda: client.front.partial_message)
         client.quiet_at -= 5_000.0
-        p.core.clients._idle_http((client, 1_000.0))  # the timer, at this instant
-        p.shell.carry_out()
-        await p.say(sock, last)
-        assert (await p.read(sock))[0] == 200
+        live.core.clients._idle_http((client, 1_000.0))  # the timer, at this instant
+        live.shell.carry_out()
+        await live.say(sock, last)
+        assert (await live.read(sock))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_last_answer_reaches_a_slow_reader():
     """After a second its connection was cut with the rest of the answer still on this side."""
 
-    async def scenario(p):
-        p.body = b"x" * 60_000
-        sock, client, transport = await p.slow_client()
-        await p.say(sock, request(Connection="close"))
-        await p.until(lambda: client.ended and transport.get_write_buffer_size())
-        await p.until(lambda: p.shell.lingering)
-        p.shell.end_linger()
-        assert await p.read(sock) == (200, p.body)
+    async def scenario(live):
+        live.body = b"x" * 60_000
+        sock, client, transport = await live.slow_client()
+        await live.say(sock, request(Connection="close"))
+        await live.until(lambda: client.ended and transport.get_write_buffer_size())
+        await live.until(lambda: live.shell.lingering)
+        live.shell.end_linger()
+        assert await live.read(sock) == (200, live.body)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("more", [b"", b"GET / HTTP/1.1\r\nHos", request("three")])
 def test_bytes_after_the_last_request_do_not_reset_its_answer(more):
     """What lies unread when a socket closes resets its connection, and with it what the client has not read yet."""
 
-    async def scenario(p):
-        p.release.clear()
-        sock = await p.client()
-        await p.say(sock, request("one", Connection="close"))
-        await p.until(lambda: p.heads())
-        p.release.set()
+    async def scenario(live):
+        live.release.clear()
+        sock = await live.client()
+        await live.say(sock, request("one", Connection="close"))
+        await live.until(lambda: live.heads())
+        live.release.set()
         sock.sendall(more)
-        assert await p.read(sock) == (200, b"served")
-        assert await p.shell.loop.sock_recv(sock, 1) == b"" and len(p.heads()) == 1
+        assert await live.read(sock) == (200, b"served")
+        assert await live.shell.loop.sock_recv(sock, 1) == b"" and len(live.heads()) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_pipelined_request_counts_its_deadline_from_its_arrival(edge):
--- a/tests/edge/test_pages.py
+++ b/tests/edge/test_pages.py
@@ -1,4 +1,4 @@
-"""docs/endings.md names tests that there are."""
+"""Tests that docs/endings.md names existing tests only."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def named(text):
-    """File and name of each test in the page; a name without a file is of the one named before it in its line."""
+    """Yields file and name of each test in the page. A name without a file is of the last file in its line."""
     for line in text.splitlines():
         file = ""
         for found in NAMED.finditer(line):
--- a/tests/edge/test_process.py
+++ b/tests/edge/test_process.py
@@ -1,4 +1,4 @@
-"""``run`` as a process, with stand-ins of backends and discovery on loopback."""
+"""Tests of the ingress as a process, with stand-ins for a backend and discovery on loopback."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Standin:
-    """A server whose answers the test gives: ``handle(head, writer)`` is awaited for each request."""
+class StandInServer:
+    """A server whose answers the test writes: ``handle(head, body, writer)`` is awaited for each request."""
 
     def __init__(self, handle):
         self.handle, self.heads, self.writers = handle, [], []
@@ -66,8 +66,8 @@
     )  # fmt: skip
 
 
-async def end(process, *codes):
-    """Kill it; one that has ended already, and with none of ``codes``, is told with what it said."""
+async def stop_process(process, *codes):
+    """Kills the process. Raises AssertionError with its output if it had already ended with none of ``codes``."""
     if process.returncode is None:
         process.kill()
     code = await process.wait()
@@ -76,7 +76,7 @@
 
 
 class Platform:
-    """Discovery and one backend, and the process between them and the test."""
+    """Discovery, one backend, and the ingress process between them and the test."""
 
     def __init__(self, tmp):
         self.tmp, self.path = tmp, tmp / "config.json"
@@ -89,7 +89,7 @@
 
     async def discovery_answer(self, head, body, writer):
         if "since=" in head and f"since={self.version}" in head:
-            await asyncio.sleep(3600)  # nothing new: a watch that waits; the test ends it
+            await asyncio.sleep(3600)  # a watch without news waits until the test ends
         writer.write(answer(orjson.dumps(self.list())))
 
     def list(self):
@@ -105,56 +105,56 @@
         self.path.write_bytes(orjson.dumps(page | more))
 
     async def start(self):
-        self.backend = await Standin(self.backend_answer).open()
-        self.discovery = await Standin(self.discovery_answer).open()
+        self.backend = await StandInServer(self.backend_answer).open()
+        self.discovery = await StandInServer(self.discovery_answer).open()
         self.port = free_port()
         self.configure()
         self.process = await launch(self.path)
-        await self.line("started")
-        await self.ready()
+        await self.log_line("started")
+        await self.wait_until_ready()
         return self
 
-    async def ready(self):
-        """It has a list with a backend that is ready. `started` comes before: until then it answers 503, `no_node`,
-        which is a promise that the request never ran."""
-        while not (await self.ask(HEALTH)).startswith(b"HTTP/1.1 200"):
+    async def wait_until_ready(self):
+        """Waits for a list with a ready backend. The event `started` comes before that, and requests are refused with
+        503 `no_node` in between."""
+        while not (await self.send(HEALTH)).startswith(b"HTTP/1.1 200"):
             await asyncio.sleep(0.01)
 
     async def restart(self, **more):
-        """Killed, and started with more in its configuration."""
-        await end(self.process)
+        """Kills the process and starts it with additional configuration."""
+        await stop_process(self.process)
         self.configure(**more)
         self.process = await launch(self.path)
 
-    async def line(self, cause):
-        """The next line of a cause in the log."""
+    async def log_line(self, cause):
+        """Returns the next log line with that cause."""
         while True:
             line = orjson.loads(await asyncio.wait_for(self.process.stderr.readline(), 10))
             if line["cause"] == cause:
                 return line
 
-    async def ask(self, data, conn=None):
+    async def send(self, data, conn=None):
         reader, writer = conn or await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data)
         head = await reader.readuntil(b"\r\n\r\n")
         return head + await reader.readexactly(int(re.search(rb"Content-Length: (\d+)", head)[1]))
 
-    async def under_way(self, data):
-        """A request that the backend has and does not answer before the gate opens."""
+    async def open_request(self, data):
+        """Sends a request that the backend receives but does not answer before the gate opens."""
         self.gate.clear()
-        before, asked = len(self.backend.heads), asyncio.create_task(self.ask(data))
+        before, answer_task = len(self.backend.heads), asyncio.create_task(self.send(data))
         while len(self.backend.heads) == before:
             await asyncio.sleep(0.005)
-        return asked
+        return answer_task
 
     async def close(self):
         self.backend.close()
         self.discovery.close()
-        await end(self.process, 0)
+        await stop_process(self.process, 0)
 
 
-def with_platform(tmp, scenario):
-    async def play():
+def run_with_platform(tmp, scenario):
+    async def main():
         platform = Platform(tmp)
         await platform.start()
         try:
@@ -162,66 +162,66 @@
         finally:
             await platform.close()
 
-    asyncio.run(play())
+    asyncio.run(main())
 
 
 def test_requests_on_one_connection_are_served_over_one_backend_connection(tmp_path):
-    async def scenario(p):
-        conn = await asyncio.open_connection("127.0.0.1", p.port)
+    async def scenario(platform):
+        conn = await asyncio.open_connection("127.0.0.1", platform.port)
         for n in range(3):
-            got = await p.ask(booking(f"b{n}", body=b"{%d}" % n), conn)
-            assert got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"ran {%d}" % n)
-        assert len(p.backend.writers) == 1
+            received = await platform.send(booking(f"b{n}", body=b"{%d}" % n), conn)
+            assert received.startswith(b"HTTP/1.1 200 ") and received.endswith(b"ran {%d}" % n)
+        assert len(platform.backend.writers) == 1
 
-    with_platform(tmp_path, scenario)
+    run_with_platform(tmp_path, scenario)
 
 
 def test_sighup_switches_discovery_and_refuses_an_invalid_file(tmp_path):
-    async def scenario(p):
-        p.path.write_bytes(b'{"name": ')
-        p.process.send_signal(signal.SIGHUP)
-        assert "config.json: line 1" in (await p.line("reload_refused"))["why"]
-        assert (await p.ask(request("one"))).startswith(b"HTTP/1.1 200 ")
-        asked = asyncio.Event()
+    async def scenario(platform):
+        platform.path.write_bytes(b'{"name": ')
+        platform.process.send_signal(signal.SIGHUP)
+        assert "config.json: line 1" in (await platform.log_line("reload_refused"))["why"]
+        assert (await platform.send(request("one"))).startswith(b"HTTP/1.1 200 ")
+        called = asyncio.Event()
 
         async def other(head, body, writer):
-            asked.set()
+            called.set()
             await asyncio.sleep(3600)
 
-        new = await Standin(other).open()
-        p.gate.clear()
-        under_way = asyncio.create_task(p.ask(request("two")))
-        while len(p.backend.heads) < 2:
+        new = await StandInServer(other).open()
+        platform.gate.clear()
+        open_answer = asyncio.create_task(platform.send(request("two")))
+        while len(platform.backend.heads) < 2:
             await asyncio.sleep(0.005)
-        p.configure(discovery=f"127.0.0.1:{new.port}")
-        p.process.send_signal(signal.SIGHUP)
-        await asyncio.wait_for(asked.wait(), 4)
+        platform.configure(discovery=f"127.0.0.1:{new.port}")
+        platform.process.send_signal(signal.SIGHUP)
+        await asyncio.wait_for(called.wait(), 4)
         assert "since=1" in new.heads[0] or "/catalog/members" in new.heads[0]
-        p.gate.set()
-        assert (await under_way).startswith(b"HTTP/1.1 200 ")
+        platform.gate.set()
+        assert (await open_answer).startswith(b"HTTP/1.1 200 ")
         new.close()
 
-    with_platform(tmp_path, scenario)
+    run_with_platform(tmp_path, scenario)
 
 
 def test_after_sigterm_open_and_new_requests_are_answered(tmp_path):
-    async def scenario(p):
-        under_way = await p.under_way(request("one"))
-        p.process.send_signal(signal.SIGTERM)
-        await p.line("stopping")
-        late = asyncio.create_task(p.ask(request("two")))
-        while len(p.backend.heads) < 2:
+    async def scenario(platform):
+        open_answer = await platform.open_request(request("one"))
+        platform.process.send_signal(signal.SIGTERM)
+        await platform.log_line("stopping")
+        late = asyncio.create_task(platform.send(request("two")))
+        while len(platform.backend.heads) < 2:
             await asyncio.sleep(0.005)
-        p.gate.set()
-        for got in (await under_way, await late):
-            assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
-        assert (await p.line("stopped"))["answered"] is True
-        assert await p.process.wait() == 0
+        platform.gate.set()
+        for received in (await open_answer, await late):
+            assert received.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in received
+        assert (await platform.log_line("stopped"))["answered"] is True
+        assert await platform.process.wait() == 0
 
-    with_platform(tmp_path, scenario)
+    run_with_platform(tmp_path, scenario)
 
 
-@pytest.mark.parametrize(("page", "said"), [
+@pytest.mark.parametrize(("page", "expected"), [
     (b"{", "config.json: line 1"), (b"{}", "config.json: settings: must be an object"),
     (orjson.dumps({"settings": OPTIONS}), "config.json: listen: must be host:port"),
     (orjson.dumps({"settings": {**OPTIONS, "classes": [{"name": "x"}]}}), "'aimMs' is missing"),
@@ -230,53 +230,53 @@
     (orjson.dumps({"settings": OPTIONS, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1",
                    "limits": {"sockets": 20}}), "limits.sockets"),
 ])  # fmt: skip
-def test_invalid_configuration_exits_with_one_line(tmp_path, page, said):
-    async def play():
+def test_invalid_configuration_exits_with_one_line(tmp_path, page, expected):
+    async def main():
         (tmp_path / "config.json").write_bytes(page)
         process = await launch(tmp_path / "config.json")
         _, err = await process.communicate()
-        assert process.returncode == 2 and said in err.decode() and err.count(b"\n") == 1
+        assert process.returncode == 2 and expected in err.decode() and err.count(b"\n") == 1
 
-    asyncio.run(play())
+    asyncio.run(main())
 
 
 @pytest.mark.parametrize("limits", [{"cores": 0.1, "memory_mb": 32, "sockets": 56}, {"sockets": 1024}])
 def test_ingress_starts_with_230_peers_and_1024_servers(tmp_path, limits):
-    """No list of either is capped below that, also at the least descriptors that an ingress can do with."""
+    """Neither list has a lower limit, even with the fewest descriptors that an ingress can use."""
 
-    async def scenario(p):
-        page = p.list()
+    async def scenario(platform):
+        page = platform.list()
         first = page["servers"][0]
         page["servers"] += [first | {"id": f"t-{k}", "addr": f"127.0.1.{k % 250}:9"} for k in range(1023)]
-        p.list = lambda: page
+        platform.list = lambda: page
         peers = [f"127.0.{2 + k // 250}.{1 + k % 250}:7946" for k in range(230)]
-        await p.restart(known=page, peers=peers, limits=limits, settings=OPTIONS | {"instances": 230, "me": 7})
-        assert (await p.line("started"))["backends"] == 1024
-        health = await p.ask(HEALTH)
+        await platform.restart(known=page, peers=peers, limits=limits, settings=OPTIONS | {"instances": 230, "me": 7})
+        assert (await platform.log_line("started"))["backends"] == 1024
+        health = await platform.send(HEALTH)
         assert health.startswith(b"HTTP/1.1 200") and b"'nodes_ready': 1024" in health
 
-    with_platform(tmp_path, scenario)
+    run_with_platform(tmp_path, scenario)
 
 
 def test_ingress_starts_with_fewer_peers_than_instances(tmp_path):
-    """The settings and the addresses come from two places: who has no address is not told, and all else serves."""
+    """Settings and addresses have different sources; a peer without an address gets no messages."""
 
-    async def scenario(p):
-        await p.restart(peers=["127.0.0.1:9", "127.0.0.2:9"], settings=OPTIONS | {"instances": 3})
-        await p.line("started")
-        await p.ready()
-        assert (await p.ask(booking("b1"))).startswith(b"HTTP/1.1 200 ")
+    async def scenario(platform):
+        await platform.restart(peers=["127.0.0.1:9", "127.0.0.2:9"], settings=OPTIONS | {"instances": 3})
+        await platform.log_line("started")
+        await platform.wait_until_ready()
+        assert (await platform.send(booking("b1"))).startswith(b"HTTP/1.1 200 ")
 
-    with_platform(tmp_path, scenario)
+    run_with_platform(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("told", "held"), [({"connIdleMs": "9000"}, 9000.0), ({"connIdleMs": 0}, 15_000.0), ({}, 15_000.0)]
+    "configured, expected_ms", [({"connIdleMs": "9000"}, 9000.0), ({"connIdleMs": 0}, 15_000.0), ({}, 15_000.0)]
 )
-def test_idle_time_of_zero_is_replaced_by_the_default(tmp_path, told, held):
-    """It is read once, for module and pool; with 0 the pool's next look at its connections was due at once."""
-    page = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": OPTIONS | {"ceilings": told}}
+def test_idle_time_of_zero_is_replaced_by_the_default(tmp_path, configured, expected_ms):
+    """Guards against an idle time of 0, with which the pool's next check of its connections was always due."""
+    page = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": OPTIONS | {"ceilings": configured}}
     (tmp_path / "config.json").write_bytes(orjson.dumps(page))
     config = load({"EDGE_CONFIG": str(tmp_path / "config.json")})
-    assert config.idle_ms == held and setup(config).pool.idle_ms == held
-    assert config.settings.limits.conn_idle_ms in (held, 0.0)
+    assert config.idle_ms == expected_ms and setup(config).pool.idle_ms == expected_ms
+    assert config.settings.limits.conn_idle_ms in (expected_ms, 0.0)
