--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -21,7 +21,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.fleet.warmth = lambda b, now: 1.0
+        self.server_pool.warm_up = lambda b, now: 1.0
 
 
 def scenes(ingresses: int) -> dict[str, Scene]:
--- a/benchmarks/shared_ceilings.py
+++ b/benchmarks/shared_ceilings.py
@@ -57,9 +57,9 @@
 
 def settings_of(me: int, rate: float, burst: float, shared: bool) -> i.Settings:
     return i.Settings(
-        me=me, gateways=COUNT, zone="a", classes=(i.RequestClass("look", 800.0, 3000.0, effect=i.Effect.SAFE),),
+        gateway=me, gateways=COUNT, zone="a", classes=(i.RequestClass("look", 800.0, 3000.0, effect=i.Effect.SAFE),),
         plans=(i.Plan("capped", ceiling_rate=rate, ceiling_burst=burst),),
-        sharing=i.Sharing(peers=True, messages_per_s=MAIL if shared else 60.0, lent=shared),
+        sharing=i.Sharing(peers=True, messages_per_s=MAIL if shared else 60.0, leased_ceilings=shared),
     )  # fmt: skip
 
 
@@ -74,12 +74,12 @@
 
     def _bucket(self, name: str) -> tuple[int, int]:
         quota, key = self.policy.quota if self.policy else None, crc32(name.encode())
-        lent = quota.lent.get(key) if quota else None
+        lent = quota.leased_shares.get(key) if quota else None
         if lent is None:
             return 0, 0
         c = quota.customers.get(key)
-        level = c.ceiling + lent.rate * (self.fleet.now - c.ceiling_at) / 1000 if c else 0.0
-        return int(lent.spilled * UNIT), int(max(0.0, lent.burst - level) * UNIT)
+        level = c.ceiling_tokens + lent.rate * (self.fleet.now - c.ceiling_refilled_at) / 1000 if c else 0.0
+        return int(lent.overflowed_tokens * UNIT), int(max(0.0, lent.burst - level) * UNIT)
 
     def _take(self, now: float) -> None:
         changes, self.budgets.changes = self.budgets.changes, []
@@ -119,7 +119,9 @@
                     self.world.later(20.0, self.event, end)
                 case i.Tell() if self.world.rng.random() > 0.02:
                     self.fleet.mail()
-                    self.world.later(3.0, self.tell, action.to, i.PeerMessage(self.policy.s.me, action.text))
+                    self.world.later(
+                        3.0, self.tell, action.to, i.PeerMessage(self.policy.settings.gateway, action.text)
+                    )
 
     def tell(self, to: int, message: i.PeerMessage) -> None:
         for p in self.world.at.values():
--- a/rushweir/budgets/core.py
+++ b/rushweir/budgets/core.py
@@ -20,7 +20,7 @@
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.drift import DRIFT, longest, shortest
 from rushweir.fleet.table import fitting
-from rushweir.state import Rate
+from rushweir.state import DecayingRate
 
 TICK_MS, ROOM = 50.0, 190
 ASK_LENGTH = 12  # numbers of a question
@@ -57,7 +57,7 @@
                 self.counts["too_many"] += 1
                 self.changes.append(PartChanged(name, self.floor(key, whole)))
                 return
-            h = self.held[key] = Held(name, whole, Rate(DEMAND_MS, now), now)
+            h = self.held[key] = Held(name, whole, DecayingRate(DEMAND_MS, now), now)
             self._tell(key, h, 0)
         if h.whole != whole:
             old, h.whole = h.whole, whole
--- a/rushweir/budgets/records.py
+++ b/rushweir/budgets/records.py
@@ -7,7 +7,7 @@
 from math import inf
 from zlib import crc32
 
-from rushweir.state import Rate
+from rushweir.state import DecayingRate
 
 UNIT = 1_000
 
@@ -74,7 +74,7 @@
 
     name: str
     whole: Whole
-    demand: Rate
+    demand: DecayingRate
     used_at: float
     lease: Part = NOTHING
     until: float = -inf  # of the lease
--- a/rushweir/config/load.py
+++ b/rushweir/config/load.py
@@ -22,7 +22,7 @@
 from rushweir.ingress.websocket import Setup
 from rushweir.link.networks import AddressSet
 from rushweir.nodes.pool import PoolSettings
-from rushweir.policy.quota import KEPT_PART
+from rushweir.policy.quota import OWNER_CEILING_SHARE
 from rushweir.rollout import ceilings
 from rushweir.rollout.ceilings import Acting, Between
 
@@ -95,13 +95,13 @@
         f = self.file
         if f.fleet is not None:
             return f.budgets.floor
-        return 1 - KEPT_PART if f.peers is not None and f.counter is None else 1.0
+        return 1 - OWNER_CEILING_SHARE if f.peers is not None and f.counter is None else 1.0
 
     def settings(self) -> i.Settings:
         """The settings of the policy."""
         f, count = self.file, self.file.ingress[1]
         return i.Settings(
-            me=self.me,
+            gateway=self.me,
             gateways=count,
             zone=f.zone,
             classes=tuple(
@@ -117,13 +117,13 @@
             ),
             limits=i.Limits(
                 f.limits.attempts, f.limits.open, f.limits.retry_after, f.limits.second_copies, f.limits.cancel,
-                f.limits.probes, f.limits.retry_after > 0, dial_ms=f.nodes.connect_timeout,
+                f.limits.probes, f.limits.retry_after > 0, dial_timeout_ms=f.nodes.connect_timeout,
             ),
             sharing=i.Sharing(
                 peers=f.peers is not None, messages_per_s=self._mail_per_s(),
                 counter=f.counter is not None, counter_timeout_ms=f.counter.timeout if f.counter else 0.0,
                 meter_ms=f.meter, largest_request=f.limits.largest_request, settles=f.settles,
-                lent=f.fleet is not None,
+                leased_ceilings=f.fleet is not None,
             ),
             prices={"crossZone": f.prices.cross_zone},
             weights=f.nodes.weights,
--- a/rushweir/costs/log.py
+++ b/rushweir/costs/log.py
@@ -15,11 +15,11 @@
 import orjson
 
 from rushweir.costs.ledger import Costs, Entry, Step
-from rushweir.frames import FrameError, Frames
+from rushweir.frames import FrameError, RecordFormat
 
 VERSION = 1
 MAGIC = b"RWCOSTS" + bytes([VERSION])
-FRAMES = Frames(MAGIC, 65_536)
+FRAMES = RecordFormat(MAGIC, 65_536)
 
 
 class LogError(ValueError):
@@ -51,7 +51,7 @@
     """How many bytes of a log are good: up to its torn end. Raises LogError where whole records lie behind what is
     torn: then something else than a kill happened to the file, and cutting it would lose charges."""
     try:
-        return FRAMES.good_end(data)
+        return FRAMES.valid_end(data)
     except FrameError as problem:
         raise LogError(str(problem)) from None
 
--- a/rushweir/daemon/operations.py
+++ b/rushweir/daemon/operations.py
@@ -89,20 +89,20 @@
 
     def _make_nodes(self, now: float) -> Iterator[dict[str, Any]]:
         core = self.core
-        fleet = getattr(core.engine.policy, "fleet", None)
-        bar = fleet.bar(0.4, now) if fleet is not None else 1.0
+        fleet = getattr(core.engine.policy, "server_pool", None)
+        bar = fleet.failure_threshold(0.4, now) if fleet is not None else 1.0
         for address, s in core.nodes.held.items():
             b = fleet.servers.get(address) if fleet is not None else None
             seen = core.watch.nodes[address]
             why = ""
-            if b is not None and b.fails(bar, now):
-                why = next((g for h, g in zip(b.health, GROUNDS, strict=False) if h.fail(now) >= bar), "")
+            if b is not None and b.is_failing(bar, now):
+                why = next((g for h, g in zip(b.health, GROUNDS, strict=False) if h.failure_rate(now) >= bar), "")
             yield {
                 "address": address, "zone": s.zone, "cell": s.cell, "kind": s.kind, "weight": s.weight,
                 "state": s.state.value, "by_hand": address in core.nodes.by_hand,
-                "warmth": round(fleet.warmth(b, now), 3) if b is not None else None,
-                "out": len(b.out) if b is not None else 0,
-                "slowness": round(b.slow, 2) if b is not None else None,
+                "warmth": round(fleet.warm_up(b, now), 3) if b is not None else None,
+                "out": len(b.in_flight) if b is not None else 0,
+                "slowness": round(b.relative_latency, 2) if b is not None else None,
                 "aside": why, "mean_ms": round(seen.mean_ms, 1), "last_bad": seen.last_bad,
                 "results": dict(seen.results), "ok": seen.results.get("ok", 0), "bad": seen.bad,
             }  # fmt: skip
@@ -173,12 +173,18 @@
         if c is None:
             return {**row, "store": None, "ceiling": None, "out": 0}
         p = c.plan
-        level = min(p.burst, c.store.level + p.rate * max(0.0, now - c.store.at) / 1000) if p.rate else None
-        top = p.ceiling_burst / c.doors
-        ceiling = min(top, c.ceiling + p.ceiling_rate / c.doors * (now - c.ceiling_at) / 1000) if top else None
+        level = (
+            min(p.burst, c.bucket.tokens + p.rate * max(0.0, now - c.bucket.refilled_at) / 1000) if p.rate else None
+        )
+        top = p.ceiling_burst / c.gateway_count
+        ceiling = (
+            min(top, c.ceiling_tokens + p.ceiling_rate / c.gateway_count * (now - c.ceiling_refilled_at) / 1000)
+            if top
+            else None
+        )
         return {
             **row, "store": None if level is None else round(level, 2), "burst": p.burst, "rate": p.rate,
-            "ceiling": None if ceiling is None else round(ceiling, 2), "out": c.open,
+            "ceiling": None if ceiling is None else round(ceiling, 2), "out": c.open_attempts,
         }  # fmt: skip
 
     # --- what happened ---------------------------------------------------------------------------
--- a/rushweir/daemon/service.py
+++ b/rushweir/daemon/service.py
@@ -137,7 +137,7 @@
             return self._ended_early(1)
         if self.inherited is not None:
             await asyncio.to_thread(self.inherited.done)
-        me = self.core.setup.settings.me
+        me = self.core.setup.settings.gateway
         bind = self.config.file.peers.bind if self.config.file.peers else None
         announce(f"ingress {me} listens on {where}" + (f", peers on {self.shell.peer_port()}" if bind else ""))
         self.log.event("info", "listening", where=where, boot=self.boot, pid=os.getpid())
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -226,7 +226,7 @@
     def _place(self, job: c.Attempt | Probe) -> None:
         b = self.nodes.get(job.server)
         if b is None or not b.ready:
-            self._end(job, i.Result.MOOT)
+            self._end(job, i.Result.SUPERSEDED)
             return
         for link in [k for k in b.idle if not self._fresh(k)]:
             self._cut(link)
@@ -246,7 +246,7 @@
         while b.ready and len(b.waiting) > b.dialing + len(b.idle):
             if len(self.links) >= self.settings.most and not self._make_room():
                 self.counts["no_connection"] += 1
-                self._end(b.waiting.pop(), i.Result.MOOT)
+                self._end(b.waiting.pop(), i.Result.SUPERSEDED)
                 continue
             link = Link(0, b, self.now)
             link.conn = self.new_conn(self)
@@ -257,7 +257,7 @@
             self.out.append(c.Dial(link.conn, b.endpoint.host, b.endpoint.port, self.settings.connect_timeout_ms))
 
     def _fresh(self, link: Link) -> bool:
-        return self.now - link.idle_since < i.IDLE_PART * self.settings.idle_ms
+        return self.now - link.idle_since < i.IDLE_TIMEOUT_SHARE * self.settings.idle_ms
 
     def _make_room(self) -> bool:
         """All connections that may be open are: the longest idle one goes."""
@@ -289,7 +289,7 @@
                 b.idle.remove(link)
                 self._write(link, job)
             else:
-                self._end(job, i.Result.MOOT)
+                self._end(job, i.Result.SUPERSEDED)
 
     def _write(self, link: Link, job: c.Attempt | Probe) -> None:
         self.where[id(job)] = link
@@ -307,7 +307,7 @@
         where = self.where.get(id(job))
         if isinstance(where, Backend):
             where.waiting.remove(job)
-            self._end(job, i.Result.MOOT)
+            self._end(job, i.Result.SUPERSEDED)
         elif where is not None:
             self._finish(where, i.Result.CONNECT_FAILED if where.unsent else result)
             self._cut(where)
@@ -336,7 +336,7 @@
     def _abandon(self, b: Backend) -> None:
         """Nothing more goes out on what is open or being opened; what waits never did."""
         while b.waiting:
-            self._end(b.waiting.popleft(), i.Result.MOOT)
+            self._end(b.waiting.popleft(), i.Result.SUPERSEDED)
         for link in sorted((k for k in b.links if k.state in (DIALING, IDLE)), key=lambda k: k.conn):
             b.dialing -= link.state is DIALING
             self._cut(link)
--- a/rushweir/edge/config.py
+++ b/rushweir/edge/config.py
@@ -11,7 +11,7 @@
 
 from rushweir import interface as i
 from rushweir.discovery.source import host_port
-from rushweir.options import settings
+from rushweir.options import parse_settings
 
 DIAL_MS = 250.0  # for a connection to a backend, where the settings do not tell
 IDLE_MS = 15_000.0  # after which backends close an idle connection, where the settings do not tell
@@ -69,13 +69,13 @@
     if not isinstance(options, dict):
         raise ConfigError("settings: an object")
     try:
-        made = settings(options)
-        idle, dial = made.limits.conn_idle_ms or IDLE_MS, made.limits.dial_ms or DIAL_MS
+        made = parse_settings(options)
+        idle, dial = made.limits.connection_idle_ms or IDLE_MS, made.limits.dial_timeout_ms or DIAL_MS
     except KeyError as missing:
         raise ConfigError(f"settings: {missing.args[0]!r} is missing or has a value that is not known") from None
     except (TypeError, ValueError, AttributeError) as problem:
         raise ConfigError(f"settings: {problem}") from None
-    if not made.classes or not made.plans or not 0 <= made.me < made.gateways:
+    if not made.classes or not made.plans or not 0 <= made.gateway < made.gateways:
         raise ConfigError("settings: classes, contracts and a number 'me' below 'instances' are needed")
     limits = page.get("limits", {})
     if not isinstance(limits, dict):
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -56,7 +56,7 @@
         )
 
     def _peers(self) -> Peers | None:
-        return Peers(self.settings.me, list(self.peers)) if self.settings.sharing.peers and self.peers else None
+        return Peers(self.settings.gateway, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
     def adopt(self, core: base.Core) -> None:
         core.parts.shared.adopt(self.settings)
--- a/rushweir/edge/trace.py
+++ b/rushweir/edge/trace.py
@@ -24,20 +24,24 @@
     def line(self, now: float) -> dict[str, Any]:
         core, policy, figures = self.core, self.core.engine.policy, self.core.figures()
         assert isinstance(policy, Policy)
-        room, fleet = policy.room, policy.fleet
+        room, fleet = policy.capacity, policy.server_pool
         counts = Counter({prefix + k: n for part, prefix in PARTS.items() for k, n in figures[part].items()})
         cpu = time.process_time()
         since, self.last, spent, self.cpu = counts - self.last, counts, cpu - self.cpu, cpu
         return {
             "cpu_ms": round(spent * 1000), "late_ms": round(core.overload.delay_ms, 1), "since": dict(since),
-            "room": [round(sum(room.parts.sizes), 2), round(sum(room.parts.used), 2)], "pressed": room.pressed(now),
+            "room": [round(sum(room.partitions.sizes), 2), round(sum(room.partitions.used), 2)],
+            "pressed": room.under_pressure(now),
             "credit": round(room.credit), "done_per_s": round(room.finished.per_s(now), 1),
-            "lengths": {n: round(m.value) for n, m in room.length.items()}, "median": round(room.median, 2),
+            "lengths": {n: round(m.value) for n, m in room.lengths.items()}, "median": round(room.median_ratio, 2),
             "owed": figures["owed"], "clients": figures["clients"], "links": figures["links"],
-            "customers": len(policy.quota.customers), "held": len(policy.quota.held),
-            "mail": sum(map(len, policy.quota.mail.waiting.values())),
+            "customers": len(policy.quota.customers), "held": len(policy.quota.held_requests),
+            "mail": sum(map(len, policy.quota.outbox.waiting.values())),
             "backends": {
-                b.entry.address: [len(b.out), round(b.slow, 2), round(b.health[0].fail(now), 2), b.entry.state.value]
+                b.entry.address: [
+                    len(b.in_flight), round(b.relative_latency, 2), round(b.health[0].failure_rate(now), 2),
+                    b.entry.state.value,
+                ]
                 for b in fleet.servers.values()
             },
         }  # fmt: skip
--- a/rushweir/frames.py
+++ b/rushweir/frames.py
@@ -22,15 +22,15 @@
 
     def __init__(self, text: str, at: int = 0) -> None:
         super().__init__(text)
-        self.at = at
+        self.offset = at
 
 
-class Frames:
+class RecordFormat:
     """How the records of one format are read and written."""
 
     def __init__(self, magic: bytes, most: int, least: int = 3) -> None:
         """``most``, ``least``: bytes of a payload; shorter ones are none, so that a hole of zeros is no record."""
-        self.magic, self.most, self.least = magic, most, least
+        self.magic, self.max_payload, self.min_payload = magic, most, least
 
     def frame(self, payload: bytes) -> bytes:
         return HEAD.pack(len(payload), crc32(payload, len(payload))) + payload
@@ -48,13 +48,13 @@
             at, payload = found
             yield at, payload
 
-    def good_end(self, data: bytes) -> int:
+    def valid_end(self, data: bytes) -> int:
         """How many bytes are good: up to the torn end. Raises FrameError where whole records lie behind what is
         torn: then something else than a kill happened to the file, and cutting it would lose what is behind."""
         end = len(self.magic) if data[: len(self.magic)] == self.magic else 0
         for end, _ in self.payloads(data):  # noqa: B007 - the last one counts
             pass
-        for at in range(end + 1, min(len(data) - HEAD.size, end + self.most + HEAD.size)):
+        for at in range(end + 1, min(len(data) - HEAD.size, end + self.max_payload + HEAD.size)):
             if self._whole(data, at) is not None:
                 raise FrameError(f"damaged at byte {end}: whole records lie behind it, from byte {at}", end)
         return end
@@ -65,7 +65,7 @@
             return None
         length, check = HEAD.unpack_from(data, at)
         end = at + HEAD.size + length
-        if not self.least <= length <= self.most or end > len(data):
+        if not self.min_payload <= length <= self.max_payload or end > len(data):
             return None
         payload = data[at + HEAD.size : end]
         return (end, payload) if crc32(payload, length) == check else None
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -202,7 +202,7 @@
         if self.peers is None:
             self.counts["no_peers"] += 1
             return
-        me, count = self.setup.settings.me, self.setup.settings.gateways
+        me, count = self.setup.settings.gateway, self.setup.settings.gateways
         for to in range(count) if command.to is None else (command.to,):
             if to != me and 0 <= to < count:
                 data = self.peers.pack(self.now, to, command.text)
@@ -309,7 +309,7 @@
         ready = sum(s.state is i.State.READY for s in self.nodes.held.values())
         why = "stopping" if self.stopping or self.moving else "no nodes" if not ready else ""
         page = {
-            "status": "ok" if not why else "unready", "why": why, "ingress": self.setup.settings.me,
+            "status": "ok" if not why else "unready", "why": why, "ingress": self.setup.settings.gateway,
             "nodes_ready": ready, "open_requests": self.engine.ledger.owed, "clients": len(self.clients.open),
         }  # fmt: skip
         return (503 if why else 200), page
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -3,7 +3,7 @@
 The engine decides nothing about admission, servers, time-outs or repeats; it keeps the ledger, so that what
 leaves it obeys the facts whatever the policy says: one final answer for each request, no attempt for a
 request that is finished, no more attempts than the settings allow. An action that the ledger can't carry out
-is answered to the policy as the bench answers it (an attempt ends as MOOT: it never ran) and counted.
+is answered to the policy as the bench answers it (an attempt ends as SUPERSEDED: it never ran) and counted.
 
 Times are milliseconds of one clock that never runs backwards. Equal calls give equal commands.
 """
@@ -65,7 +65,7 @@
         self.settings, self.policy, self.now = settings, policy, now
         self.margin, self.boot, self.watch = margin_ms, boot, watch
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.ledger = Ledger(settings.limits.max_open)
+        self.ledger = Ledger(settings.limits.max_open_requests)
         self.out: deque[c.Command] = deque()
         self.timers: list[tuple[float, int, Callable[..., None], Any]] = []
         self.serial = 0
@@ -121,7 +121,7 @@
         """Other settings from now on; what was taken by the old ones is finished by the old ones."""
         self.now, self.settings, self.margin = now, settings, margin_ms
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.ledger.most = settings.limits.max_open
+        self.ledger.most = settings.limits.max_open_requests
         self._tell(settings)
 
     # --- what happened ---------------------------------------------------------------------------
@@ -277,7 +277,7 @@
         n, until = len(entry.attempts), min(action.until_ms or entry.not_after, entry.not_after - ENDING_MS)
         attempt = c.Attempt(entry.rid, n, action.server, self.now, until, entry.payload, entry.cls)
         limits = self.settings.limits
-        twice = entry.out and not limits.second_copies
+        twice = entry.out and not limits.parallel_attempts
         gone = entry.state is not DONE and not self.present(entry.conn)
         if gone or entry.state is DONE or n >= limits.max_attempts or until <= self.now or twice:
             # Not to be carried out: it ends as never sent, told apart from this answer, as on the bench.
@@ -286,7 +286,7 @@
             else:
                 self._odd("send", action.id)
             entry.attempts.append(attempt)
-            attempt.ended, attempt.result, attempt.ended_ms = True, i.Result.MOOT.value, self.now
+            attempt.ended, attempt.result, attempt.ended_ms = True, i.Result.SUPERSEDED.value, self.now
             self.at(self.now, self._moot, attempt)
             return
         self.ledger.send(entry, attempt)
@@ -298,13 +298,13 @@
     def _moot(self, attempt: c.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.rid)
         settled = entry is None or entry.state is DONE
-        self._tell(i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.MOOT, 0.0, settled), entry)
+        self._tell(i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.SUPERSEDED, 0.0, settled), entry)
 
     def _refuse(self, action: i.Refuse) -> None:
         entry = self._open_entry(action.id, "refuse")
         if entry is not None:
-            self.refusals[action.why or "policy"] += 1
-            self._answer(entry, c.Kind.REFUSED, why=action.why or "policy", retry=action.stay_away_ms)
+            self.refusals[action.reason or "policy"] += 1
+            self._answer(entry, c.Kind.REFUSED, why=action.reason or "policy", retry=action.retry_after_ms)
 
     def _fail(self, action: i.Fail) -> None:
         entry = self._open_entry(action.id, "fail")
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -125,7 +125,7 @@
         """Settings as they hold among the members that there are: of numbers that nobody has none is a keeper."""
         self._settings(settings)
         seats = self.fleet.view.seats
-        return replace(settings, present=tuple(sorted(n for n, s in seats.items() if s.state == SEATED)))
+        return replace(settings, present_gateways=tuple(sorted(n for n, s in seats.items() if s.state == SEATED)))
 
     def _present(self, core: Core) -> None:
         core.engine.adopt(core.now, self.among(core.setup.settings), core.engine.margin)
@@ -188,8 +188,8 @@
 def _bucket(core: Core, name: str) -> tuple[int, int]:
     """Of the module's bucket of a partner's ceiling: what it had no room for in all, and what it has room for."""
     quota, key = getattr(core.engine.policy, "quota", None), crc32(name.encode())
-    if quota is None or (lent := quota.lent.get(key)) is None:
+    if quota is None or (lent := quota.leased_shares.get(key)) is None:
         return 0, 0
     c = quota.customers.get(key)
-    level = 0.0 if c is None else c.ceiling + lent.rate * (core.now - c.ceiling_at) / 1000
-    return int(lent.spilled * UNIT), int(max(0.0, lent.burst - level) * UNIT)
+    level = 0.0 if c is None else c.ceiling_tokens + lent.rate * (core.now - c.ceiling_refilled_at) / 1000
+    return int(lent.overflowed_tokens * UNIT), int(max(0.0, lent.burst - level) * UNIT)
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -40,7 +40,7 @@
 
     def parts(self, core: base.Core) -> base.Parts:
         s, at = self.settings, core.engine.at
-        headers = {"User-Agent": f"rushweir ingress={s.me} zone={s.zone}"}
+        headers = {"User-Agent": f"rushweir ingress={s.gateway} zone={s.zone}"}
         made = base.Parts(
             lambda: ClientConnection(core.setup.front, lambda: core.setup.credentials, core.health),
             Pool(self.pool, headers, core.new_conn, at),
@@ -52,7 +52,7 @@
                 self.counter_url, headers, self.seed, s.sharing.counter_timeout_ms or 50.0, core.new_conn, at
             )
         if self.peer_key:
-            made.peers = Peers(s.me, s.gateways, self.peer_key)
+            made.peers = Peers(s.gateway, s.gateways, self.peer_key)
         made.fleet = self.fleet
         return made
 
@@ -80,14 +80,14 @@
             c, partner = quota.customers.get(crc32(name.encode())), self.credentials.named(name)
             if c is None or partner is None:
                 continue
-            quota.move(c, partner.plan, now)
-            if c.through != (partner.first, partner.spread):
+            quota.change_plan(c, partner.plan, now)
+            if c.gateway_range != (partner.first, partner.spread):
                 quota.refill(c, now)
                 if core.fleet is not None:
                     let_go(core.fleet.budgets, name)
                     core.engine.part(now, i.Part(name, 0.0, 0.0))  # until the next request says what it has now
-                c.through = partner.first, partner.spread
-                c.doors, c.ranks = quota.around(c.hash, *c.through)
+                c.gateway_range = partner.first, partner.spread
+                c.gateway_count, c.owners = quota.gateways_and_owners(c.key, *c.gateway_range)
                 quota.refill(c, now)  # no more than the new part's burst
 
     def renew(self, core: base.Core, now: float) -> None:
--- a/rushweir/interface.py
+++ b/rushweir/interface.py
@@ -40,14 +40,14 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    SUPERSEDED = "moot"
 
     @property
     def never_ran(self) -> bool:
         return self in _NEVER_RAN
 
 
-_NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+_NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.SUPERSEDED})
 
 
 class Scope(Enum):
@@ -90,7 +90,7 @@
     name: str
     rate: float = 0.0  # units a second
     burst: float = 0.0
-    open_limit: int = 0  # attempts out at once
+    max_in_flight: int = 0  # attempts out at once
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -110,21 +110,23 @@
     ask_within_ms: float = 0.0
 
 
-IDLE_PART = 0.8  # of the time after which a server closes an idle connection: its own clock may run ahead
+IDLE_TIMEOUT_SHARE = 0.8  # of the time after which a server closes an idle connection: its own clock may run ahead
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     max_attempts: int = 1
-    max_open: int = 1_000_000
+    max_open_requests: int = 1_000_000
     max_retry_after_ms: float = 0.0
-    second_copies: bool = False
+    parallel_attempts: bool = False
     cancel: bool = False
     probing: bool = False
     retry_after: bool = False
-    conn_idle_ms: float = 0.0  # a server closes a connection idle for so long; 0: nothing is known of connections
-    streams: int = 1  # attempts that a connection carries at once
-    dial_ms: float = 0.0  # so long may a new connection take before the attempt that waits for it ends unsent
+    connection_idle_ms: float = (
+        0.0  # a server closes a connection idle for so long; 0: nothing is known of connections
+    )
+    streams_per_connection: int = 1  # attempts that a connection carries at once
+    dial_timeout_ms: float = 0.0  # so long may a new connection take before the attempt that waits for it ends unsent
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,12 +140,12 @@
     meter_ms: float = 0.0
     largest_request: float = 1.0
     settles: bool = False  # the true units come with the answer
-    lent: bool = False  # a ceiling is spent by parts that are given as events, and by nothing else
+    leased_ceilings: bool = False  # a ceiling is spent by parts that are given as events, and by nothing else
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    me: int
+    gateway: int
     gateways: int
     zone: str
     classes: tuple[RequestClass, ...]
@@ -155,7 +157,7 @@
     weights: str = "off"  # what a server's weight means: off, nominal, rough or live
     ask_discovery: bool = False
     tick_ms: float = 1.0
-    present: tuple[int, ...] = ()  # gateways that are there; none: all
+    present_gateways: tuple[int, ...] = ()  # gateways that are there; none: all
 
 
 # --- events -----------------------------------------------------------------------------------
@@ -181,13 +183,13 @@
 @dataclass(frozen=True, slots=True)
 class Request:
     id: str
-    cls: str
+    class_name: str
     plan: str
     customer: str
     not_after_ms: float
     units: float = 1.0
-    spread: int = 1  # gateways this customer's requests may arrive through ...
-    first: int = 0  # ... counted round from this one
+    gateway_count: int = 1  # gateways this customer's requests may arrive through ...
+    first_gateway: int = 0  # ... counted round from this one
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +200,7 @@
     result: Result
     spent_ms: float
     settled: bool = False
-    used: int = 0  # 1 + percent of the quota used in the meter's last period; 0: nothing told
+    quota_used: int = 0  # 1 + percent of the quota used in the meter's last period; 0: nothing told
     cost: float = 0.0  # true units; 0: nothing told
     load: dict[str, float] | None = None
 
@@ -251,8 +253,8 @@
     customer: str | int
     rate: float
     burst: float
-    add: float = 0.0
-    kept: bool = False
+    added_tokens: float = 0.0
+    as_owner: bool = False
 
 
 # Settings are an event too: others, for the same gateway, from now on.
@@ -273,8 +275,8 @@
     """A final answer that says trying again is harmless."""
 
     id: str
-    stay_away_ms: float = 0.0
-    why: str = ""  # which of its own grounds the policy names; for people and counts, nothing hangs on it
+    retry_after_ms: float = 0.0
+    reason: str = ""  # which of its own grounds the policy names; for people and counts, nothing hangs on it
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushweir/lab/sabotage.py
+++ b/rushweir/lab/sabotage.py
@@ -20,7 +20,7 @@
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
 from rushweir.ingress.listed import Listed
-from rushweir.policy import decide, room, servers
+from rushweir.policy import gateway_policy, in_flight_capacity, load_balancing
 
 
 def lost() -> None:
@@ -54,7 +54,11 @@
     Config.settings = lambda self: replace(
         real(self), classes=tuple(replace(k, effect=i.Effect.SAFE) for k in real(self).classes)
     )
-    decide.LIMIT_AIM, decide.LIMIT_TIMES, decide.RETRY_PART = 0.02, 0.2, 5.0
+    (
+        gateway_policy.ATTEMPT_LIMIT_AIM_SHARE,
+        gateway_policy.ATTEMPT_LIMIT_MEDIANS,
+        gateway_policy.RETRY_TOKENS_PER_SUCCESS,
+    ) = 0.02, 0.2, 5.0
 
 
 def drain() -> None:
@@ -71,12 +75,12 @@
 
 def cold() -> None:
     """Rule 4: the node that started last gets everything, and there is always room."""
-    room.Room.fits = lambda self, name, units, keep, now: [0]
+    in_flight_capacity.InFlightCapacity.find_partitions = lambda self, name, units, keep, now: [0]
 
     def choose(self, now, allowed, avoid):
-        return max(self.ready, key=lambda b: b.entry.online_since_ms, default=None)
+        return max(self.ready_servers, key=lambda b: b.entry.online_since_ms, default=None)
 
-    servers.Fleet.choose = choose
+    load_balancing.ServerPool.choose = choose
 
 
 def ceiling() -> None:
@@ -90,7 +94,7 @@
         )
 
     Config.settings = settings
-    room.Room.fits = lambda self, name, units, keep, now: [0]
+    in_flight_capacity.InFlightCapacity.find_partitions = lambda self, name, units, keep, now: [0]
 
 
 def parts() -> None:
--- a/rushweir/lab/scale/pure_counter.py
+++ b/rushweir/lab/scale/pure_counter.py
@@ -42,7 +42,7 @@
         if event is None:
             at(now + GAP_MS, None)
             name = f"c{number * 7 % TENANTS}"
-            event = i.Request(f"r{number}", "long", "plan1", name, now + 8_000.0, spread=ingresses)
+            event = i.Request(f"r{number}", "long", "plan1", name, now + 8_000.0, gateway_count=ingresses)
         for a in policy.handle(now, event):
             if isinstance(a, i.Count):
                 counted += now >= WARM_MS
--- a/rushweir/lab/scale/pure_mail.py
+++ b/rushweir/lab/scale/pure_mail.py
@@ -67,13 +67,13 @@
 
     def _watched(self, policy: Policy) -> None:
         """Count what is decided by a door's even part, for no keeper's word came."""
-        decides = policy.quota.even
+        decides = policy.quota.decide_by_equal_share
 
         def even(ticket: Any, now: float) -> bool:
             self.even += self.counting
             return decides(ticket, now)
 
-        policy.quota.even = even
+        policy.quota.decide_by_equal_share = even
 
     def at(self, when: float, k: int, event: Any) -> None:
         self.serial += 1
@@ -94,7 +94,7 @@
                     self.at(now + a.after_ms, k, i.Timer(a.ref))
                 case i.Refuse():
                     self.refused += self.counting
-                    self.by_quota += self.counting and a.why == "quota"
+                    self.by_quota += self.counting and a.reason == "quota"
 
     def run(self, until: float) -> None:
         while self.due and self.due[0][0] < until:
@@ -116,7 +116,7 @@
         self.serial += 1
         return i.Request(
             f"{self.serial:x}", "long", f"plan{self.plan_of[tenant]}", f"tenant{tenant}", now + 8_000.0,
-            spread=self.count,
+            gateway_count=self.count,
         )  # fmt: skip
 
 
@@ -138,7 +138,7 @@
             (f"{name}_by_even_part_share", "1", fleet.even / fleet.requests),
         ):
             yield Sample(role, figure, unit, by, size, value, "simulated", seconds)
-        waits = sum(len(p.quota.mail.waiting) for p in fleet.policies) / size
+        waits = sum(len(p.quota.outbox.waiting) for p in fleet.policies) / size
         yield Sample(role, f"{name}_peers_that_wait", "1", by, size, waits, "simulated")
 
 
--- a/rushweir/lab/scale/pure_policy.py
+++ b/rushweir/lab/scale/pure_policy.py
@@ -52,7 +52,7 @@
         """A request, and its good answer in the same call; time goes on by what lies between two."""
         self.now += GAP_MS
         rid = f"r{next(self.serial)}"
-        event = i.Request(rid, "usual", "plan1", customer, self.now + 4_000.0, spread=self.spread)
+        event = i.Request(rid, "usual", "plan1", customer, self.now + 4_000.0, gateway_count=self.spread)
         sends = [a for a in self.policy.handle(self.now, event) if isinstance(a, i.Send)]
         if not answered:
             return
@@ -98,9 +98,9 @@
 
     def cleared(block) -> float:
         # What is asked stays open until an answer comes: it is forgotten between the blocks, as ends do.
-        one.policy.tickets.clear()
+        one.policy.pending.clear()
         one.policy.checks.clear()
-        one.policy.quota.held.clear()
+        one.policy.quota.held_requests.clear()
         return cpu(block, 1)
 
     known()
@@ -147,7 +147,7 @@
     for name in names:
         event = i.Request("r", "usual", "plan1", name, 4_000.0)
         c = one.policy.quota.customer(event, 0.0)
-        one.policy.quota.keep(c.hash, c.plan, 1.0, 0.0, (0, 1))
+        one.policy.quota.decide_as_owner(c.key, c.plan, 1.0, 0.0, (0, 1))
 
 
 def tenants(size: int) -> list[str]:
@@ -167,7 +167,7 @@
     seen(one, tenants(size))
 
     def swept() -> None:
-        one.policy.quota.swept = -1e9
+        one.policy.quota.swept_at = -1e9
         one.policy.quota.tick(1.0)
 
     yield Sample("customers", "sweep_cpu", "ms", "tenants", size, cpu(swept) * 1e3, "core")
--- a/rushweir/lab/sim/cold.py
+++ b/rushweir/lab/sim/cold.py
@@ -151,7 +151,7 @@
                     self.ended(k, action.id, action.attempt, i.Result.CANCELLED)
                 case i.Refuse():
                     until = self.open.pop(action.id).until
-                    back = self.now + max(action.stay_away_ms, 40.0)
+                    back = self.now + max(action.retry_after_ms, 40.0)
                     if back < until and self.rng.random() < self.scene.again:
                         self.at(back, self.ask, k, until)
                 case i.Fail():
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -58,13 +58,13 @@
             return
         if self._cut_off(node):
             self.counts["cut_off"] += 1
-            self._end(attempt, i.Result.MOOT)
+            self._end(attempt, i.Result.SUPERSEDED)
             return
         link = self._link_for(node)
         if link is None:
             # All connections that may be opened are full: the cap is this side's, and nothing was sent.
             self.counts["no_stream"] += 1
-            self._end(attempt, i.Result.MOOT)
+            self._end(attempt, i.Result.SUPERSEDED)
             return
         link.waiting[id(attempt)] = attempt
         self.where[id(attempt)] = link
@@ -219,7 +219,7 @@
             _, attempt = link.waiting.popitem(last=False)
             if cut_off or not self.wanted(attempt):
                 self.counts["cut_off"] += cut_off
-                self._end(attempt, i.Result.MOOT)
+                self._end(attempt, i.Result.SUPERSEDED)
                 continue
             link.serial += 1
             link.streams[link.serial] = attempt
@@ -272,7 +272,7 @@
         if link is None:
             return
         if link.waiting.pop(id(attempt), None) is not None:
-            self._end(attempt, i.Result.MOOT)  # never handed over: it never ran
+            self._end(attempt, i.Result.SUPERSEDED)  # never handed over: it never ran
             return
         number = next(n for n, a in link.streams.items() if a is attempt)
         del link.streams[number]
--- a/rushweir/options.py
+++ b/rushweir/options.py
@@ -13,12 +13,12 @@
 GROUPS = {g.value: g for g in i.Group}
 
 
-def settings(o: Fields) -> i.Settings:
+def parse_settings(o: Fields) -> i.Settings:
     """The settings; unknown keys are skipped, absent ones keep their defaults. Raises KeyError where one is missing,
     and ValueError, which names the field, where one is none of its kind."""
     rules, limits, domain, tariffs = (_fields(o, k) for k in ("guarantees", "ceilings", "domain", "tariffs"))
     made = i.Settings(
-        me=int(_number(o, "me", "", None)),
+        gateway=int(_number(o, "me", "", None)),
         gateways=int(_number(o, "instances", "", None, least=1)),
         zone=_text(o, "locality", "", ""),
         classes=tuple(_request_class(c, f"classes[{k}].") for k, c in enumerate(_list(o, "classes"))),
@@ -34,15 +34,15 @@
         ),
         limits=i.Limits(
             max_attempts=int(_number(limits, "maxAttempts", "ceilings.", 1, least=1)),
-            max_open=int(_number(limits, "mostHeld", "ceilings.", 1_000_000, least=1)),
+            max_open_requests=int(_number(limits, "mostHeld", "ceilings.", 1_000_000, least=1)),
             max_retry_after_ms=_number(limits, "maxRetryAfterMs", "ceilings.", 0.0),
-            second_copies=bool(limits.get("parallelTries", False)),
+            parallel_attempts=bool(limits.get("parallelTries", False)),
             cancel=bool(limits.get("mayCancel", False)),
             probing=bool(limits.get("probing", False)),
             retry_after=bool(limits.get("retryAfter", False)),
-            conn_idle_ms=_number(limits, "connIdleMs", "ceilings.", 0.0),
-            streams=int(_number(limits, "maxStreams", "ceilings.", 1, least=1)),
-            dial_ms=_number(limits, "dialTimeoutMs", "ceilings.", 0.0),
+            connection_idle_ms=_number(limits, "connIdleMs", "ceilings.", 0.0),
+            streams_per_connection=int(_number(limits, "maxStreams", "ceilings.", 1, least=1)),
+            dial_timeout_ms=_number(limits, "dialTimeoutMs", "ceilings.", 0.0),
         ),
         sharing=i.Sharing(
             peers=bool(limits.get("peerMessages", False)),
@@ -83,7 +83,7 @@
         name=_text(p, "name", where),
         rate=_number(p, "unitsPerS", where, 0.0),
         burst=_number(p, "storeSize", where, 0.0),
-        open_limit=int(_number(p, "atOnce", where, 0)),
+        max_in_flight=int(_number(p, "atOnce", where, 0)),
         ceiling_rate=_number(p, "capRate", where, 0.0),
         ceiling_burst=_number(p, "capDepth", where, 0.0),
         ceiling_slack=_number(p, "capSlack", where, 0.0),
--- a/rushweir/policy/__init__.py
+++ b/rushweir/policy/__init__.py
@@ -1,6 +1,6 @@
 """Every decision of a gateway: Popularity-based Bandwidth Prepartitioning with f2, and demand-share quotas.
 Types, settings, events and actions are in rushweir/interface.py; docs/design.md has the reasons."""
 
-from rushweir.policy.decide import Policy
+from rushweir.policy.gateway_policy import Policy
 
 __all__ = ["Policy"]
--- a/rushweir/rollout/ceilings.py
+++ b/rushweir/rollout/ceilings.py
@@ -209,7 +209,7 @@
                     plan, name=called, rate=plan.rate * part, burst=plan.burst * part,
                     ceiling_rate=plan.ceiling_rate * part, ceiling_burst=burst,
                     ceiling_slack=plan.ceiling_slack * part,
-                    open_limit=max(1, int(plan.open_limit * part)) if plan.open_limit else 0,
+                    max_in_flight=max(1, int(plan.max_in_flight * part)) if plan.max_in_flight else 0,
                 )  # fmt: skip
         ways[name] = Acting(called, me)
     if any(w.plan == CLOSED for w in ways.values()):
--- a/rushweir/rollout/storage.py
+++ b/rushweir/rollout/storage.py
@@ -23,12 +23,12 @@
 
 import msgpack
 
-from rushweir.frames import FrameError, Frames
+from rushweir.frames import FrameError, RecordFormat
 from rushweir.rollout.log import BOUNDS, Base, Entry, entry
 from rushweir.rollout.steps import MOST_STEP, StepError
 
 VERSION = 1
-FRAMES = Frames(b"RWSTEPS" + bytes([VERSION]), 4 * MOST_STEP)
+FRAMES = RecordFormat(b"RWSTEPS" + bytes([VERSION]), 4 * MOST_STEP)
 Records = Iterable[list[Any]]
 WRITTEN = 65_536  # bytes of a file that are made at once, and one record more
 
@@ -132,9 +132,9 @@
 def read(data: bytes, me: int, count: int) -> Kept:
     """What a file says. Raises StorageError."""
     try:
-        good = FRAMES.good_end(data)
+        good = FRAMES.valid_end(data)
     except FrameError as problem:
-        raise StorageError(f"byte {problem.at}: {problem}") from None
+        raise StorageError(f"byte {problem.offset}: {problem}") from None
     kept, reader, begin = Kept(me, count, good=good), _Reader(), len(FRAMES.magic)
     for end, payload in FRAMES.payloads(data[:good]):
         try:
--- a/rushweir/wirehost.py
+++ b/rushweir/wirehost.py
@@ -9,7 +9,7 @@
 import orjson
 
 from rushweir import interface as i
-from rushweir.options import Fields, settings
+from rushweir.options import Fields, parse_settings
 from rushweir.policy import Policy
 
 RESULTS = {
@@ -20,7 +20,7 @@
     "NOCONN": i.Result.CONNECT_FAILED,
     "RST": i.Result.RESET,
     "CXL": i.Result.CANCELLED,
-    "NOP": i.Result.MOOT,
+    "NOP": i.Result.SUPERSEDED,
 }
 SCOPES = {s.value: s for s in i.Scope}
 STATES = {"SERVING": i.State.READY, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
@@ -71,7 +71,7 @@
 
 ACTIONS: dict[type, Callable[[Any], Fields]] = {
     i.Send: lambda a: {"op": "TRY", "tid": a.id, "backend": a.server, "tryUntilMs": a.until_ms},
-    i.Refuse: lambda a: {"op": "DECLINE", "tid": a.id, "stayAwayMs": a.stay_away_ms},
+    i.Refuse: lambda a: {"op": "DECLINE", "tid": a.id, "stayAwayMs": a.retry_after_ms},
     i.Fail: lambda a: {"op": "LOSE", "tid": a.id},
     i.Cancel: lambda a: {"op": "REVOKE", "tid": a.id, "attempt": a.attempt},
     i.SetTimer: lambda a: {"op": "AFTER", "ref": a.ref, "offsetMs": a.after_ms},
@@ -92,19 +92,19 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.instances: dict[int, Policy] = {}
-        self.sheets: dict[int, tuple[i.Server, ...]] = {}
-        self.out: list[bytes] = []
+        self.directories: dict[int, tuple[i.Server, ...]] = {}
+        self.replies: list[bytes] = []
 
-    def line(self, message: Fields) -> bytes | None:
+    def handle_line(self, message: Fields) -> bytes | None:
         op = message.get("op")
         if op == "CLOCK":
             self.now = message["atTimeMs"]
         elif op == "EOF_BATCH":
-            self.out.append(b'{"op":"END"}\n')
-            reply, self.out = b"\n".join(self.out), []
+            self.replies.append(b'{"op":"END"}\n')
+            reply, self.replies = b"\n".join(self.replies), []
             return reply
         elif op == "DIRECTORY":
-            self.sheets[message.get("sheet", 0)] = tuple(_server(e) for e in message.get("membersList", ()))
+            self.directories[message.get("sheet", 0)] = tuple(_server(e) for e in message.get("membersList", ()))
         elif op == "DOWN":
             self.instances.pop(message["who"], None)
         else:
@@ -116,13 +116,13 @@
         event: i.Event | None = None
         if op == "UPDATE":
             scope = SCOPES[message["scope"]]
-            servers = () if scope is i.Scope.FAILED else self.sheets[message.get("sheet", 0)]
+            servers = () if scope is i.Scope.FAILED else self.directories[message.get("sheet", 0)]
             event = i.Members(scope, servers)
         elif op in EVENTS:
             event = EVENTS[op](message)
         elif op != "BEGIN":
             raise WireError(f"unknown op {op!r}")
-        start = settings(message["options"]) if event is None else None
+        start = parse_settings(message["options"]) if event is None else None
         try:
             if start is not None:
                 policy = self.instances[who] = Policy(start, message.get("randomSeed", 0), self.now)
@@ -133,12 +133,12 @@
             if who not in self.instances and start is None:
                 raise WireError(f"no instance {who}") from None
             text = f"{type(error).__name__}: {error}"
-            self.out.append(orjson.dumps({"op": "FAULT", "who": who, "message": text}))
+            self.replies.append(orjson.dumps({"op": "FAULT", "who": who, "message": text}))
             return
         for action in actions:
             fields = ACTIONS[type(action)](action)
             fields["who"] = who
-            self.out.append(orjson.dumps(fields))
+            self.replies.append(orjson.dumps(fields))
 
 
 def serve(lines: Iterable[bytes], write: Callable[[bytes], object], complain: Callable[[str], object]) -> int:
@@ -148,7 +148,7 @@
         if not raw.strip():
             continue
         try:
-            reply = host.line(orjson.loads(raw))
+            reply = host.handle_line(orjson.loads(raw))
         except KeyError as error:
             complain(f"rushweir: line {number}: missing or unknown field or value {error}\n")
             return 2
--- a/tests/budgets/test_two.py
+++ b/tests/budgets/test_two.py
@@ -10,7 +10,7 @@
 from rushweir import interface as i
 from rushweir import state as st
 from rushweir.policy import Policy
-from rushweir.policy.quota import ASK, ENTRY, NO, YES
+from rushweir.policy.quota import ADMITTED, ASK, ENTRY_FORMAT, REFUSED
 
 BURST = 3  # units of the part, which fills next to nothing while this lasts
 
@@ -22,9 +22,10 @@
         # One that is kept elsewhere: the other of two numbers.
         for me in (0, 1):
             settings = i.Settings(
-                me=me, gateways=2, zone="a", classes=(i.RequestClass("look", 800.0, 3000.0, effect=i.Effect.SAFE),),
+                gateway=me, gateways=2, zone="a",
+                classes=(i.RequestClass("look", 800.0, 3000.0, effect=i.Effect.SAFE),),
                 plans=(i.Plan("capped", 50.0, 50.0, ceiling_rate=50.0, ceiling_burst=50.0),),
-                sharing=i.Sharing(peers=True, lent=True),
+                sharing=i.Sharing(peers=True, leased_ceilings=True),
             )  # fmt: skip
             self.policy, self.me, self.now, self.serial = Policy(settings, 1, 0.0), me, 0.0, 0
             self.do(i.Members(i.Scope.FULL, tuple(i.Server(f"10.0.0.{k}:80") for k in range(20))))
@@ -45,7 +46,7 @@
         for _ in range(40):  # mail goes in its own time
             for a in self.last:
                 if isinstance(a, i.Tell):
-                    for kind, *_, over, number in st.unpack(ENTRY, a.text):
+                    for kind, *_, over, number in st.unpack_entries(ENTRY_FORMAT, a.text):
                         if kind == ASK:
                             self.own = not over % 2  # whether the door's own part pays
                             return number
@@ -55,11 +56,11 @@
     def word(self, kind: int, number: int) -> list:
         """The keeper's: so little is left that none is let in on the word alone, and enough to ask for one more."""
         customer = self.policy.quota.customers.copy().popitem()[0]
-        text = b85encode(ENTRY.pack(kind, 0, customer, 1.0, 255, number)).decode()
+        text = b85encode(ENTRY_FORMAT.pack(kind, 0, customer, 1.0, 255, number)).decode()
         return self.do(i.PeerMessage(1 - self.me, text))
 
     def refused(self, number: int) -> None:
-        assert [type(a) for a in self.word(NO, number)] == [i.Refuse]
+        assert [type(a) for a in self.word(REFUSED, number)] == [i.Refuse]
 
     def sent(self) -> int:
         """How many requests the door's part pays for from now on, until the keeper is asked to pay."""
@@ -67,26 +68,26 @@
             number = self.ask()
             if not self.own:
                 return n
-            assert any(isinstance(a, i.Send) for a in self.word(YES, number))
+            assert any(isinstance(a, i.Send) for a in self.word(ADMITTED, number))
         return 3 * BURST
 
 
 @pytest.mark.parametrize("times", [1, 3])
 def test_what_the_second_refuses_comes_back_to_the_first_once(times):
     door = Door()
-    door.word(YES, door.ask())  # so that the bucket has room for what would come back twice
+    door.word(ADMITTED, door.ask())  # so that the bucket has room for what would come back twice
     for _ in range(4):  # more than the part has: each gets its own back before the next
         number = door.ask()
         assert number is not None
         door.refused(number)
         for _ in range(times - 1):
-            assert not door.word(NO, number)  # doubled on its way
+            assert not door.word(REFUSED, number)  # doubled on its way
     assert door.sent() == BURST - 1
 
 
 def test_what_the_second_lets_in_does_not_come_back():
     door = Door()
     number = door.ask()
-    assert any(isinstance(a, i.Send) for a in door.word(YES, number))
-    door.word(NO, number)  # of an older question, or a wrong word
+    assert any(isinstance(a, i.Send) for a in door.word(ADMITTED, number))
+    door.word(REFUSED, number)  # of an older question, or a wrong word
     assert door.sent() == BURST - 1
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -84,11 +84,11 @@
     (base / "x.conf").write_text(GOOD)
     config = load(base / "x.conf")
     s = config.settings()
-    assert (s.me, s.gateways, s.zone, s.ask_discovery) == (1, 3, "room-a", True)
+    assert (s.gateway, s.gateways, s.zone, s.ask_discovery) == (1, 3, "room-a", True)
     assert s.classes == (i.RequestClass("booking", 1200, 3000, 5, 0, i.Effect.KEYED, i.Group.ZONE, 6000),)
     assert s.plans[0] == i.Plan("teljes", 11, 20, 0, 25, 43, 4)
     assert s.rules == i.Rules(0, 1000, 0.2, 10000, 3, 1500)
-    assert s.limits == i.Limits(4, 20_000, 500, False, True, False, True, dial_ms=250)
+    assert s.limits == i.Limits(4, 20_000, 500, False, True, False, True, dial_timeout_ms=250)
     assert (s.sharing.peers, s.sharing.messages_per_s, s.sharing.largest_request) == (True, 30, 6)
     setup = config.setup()
     assert setup.credentials.by_digest == {digest("x"): Partner('Hotel "A"', "teljes", 2, 2)}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -61,12 +61,12 @@
     i.Plan("rated", rate=2.0, burst=6.0, over_cost=0.5),
     i.Plan("wide", rate=1000.0, burst=1000.0, over_cost=0.5),
     i.Plan("soft", rate=1.0, burst=2.0, over_worth=0.3),
-    i.Plan("open", open_limit=2, over_cost=1.0),
+    i.Plan("open", max_in_flight=2, over_cost=1.0),
     i.Plan("capped", 10.0, 20.0, ceiling_rate=20.0, ceiling_burst=40.0, ceiling_slack=4.0, over_cost=0.5),
 )
 RULES = i.Rules(8.0, 1000.0, cold_share=0.2, cold_ms=10000.0, fall_multiple=3.0, fall_ms=1500.0)
 SETTINGS = i.Settings(
-    me=0,
+    gateway=0,
     gateways=3,
     zone="a",
     classes=CLASSES,
@@ -95,7 +95,7 @@
     def ask(self, plan: str = "wide", cls: str = "look", customer: str = "c", units: float = 1.0, **more):
         """One request; returns its id and the policy's decision on it (a Send, Refuse or Fail)."""
         self.n += 1
-        fields = {"not_after_ms": self.now + 3000.0, "spread": 1, "first": 0} | more
+        fields = {"not_after_ms": self.now + 3000.0, "gateway_count": 1, "first_gateway": 0} | more
         actions = self.do(i.Request(f"r{self.n}", cls, plan, customer, units=units, **fields))
         mine = [a for a in actions if getattr(a, "id", None) == f"r{self.n}"]
         mine = [a for a in mine if not isinstance(a, i.SetTimer)]
@@ -131,7 +131,7 @@
     """Several gateways with peers and a counter between them, in memory; time moves in steps of 2 ms."""
 
     def __init__(self, gateways: int, servers: int, settings: i.Settings) -> None:
-        self.nodes = [Gateway(replace(settings, me=k, gateways=gateways), servers) for k in range(gateways)]
+        self.nodes = [Gateway(replace(settings, gateway=k, gateways=gateways), servers) for k in range(gateways)]
         self.now, self.n, self.calls = 1000.0, 0, 0
         self.told: list[str] = []
         self.dead: set[int] = set()
@@ -178,7 +178,7 @@
     def ask(self, k: int, plan: str = "rated", customer: str = "c", units: float = 1.0, **more) -> str:
         self.n += 1
         rid, node = f"r{self.n}", self.nodes[k]
-        fields = {"not_after_ms": self.now + 3000.0, "spread": len(self.nodes), "first": 0} | more
+        fields = {"not_after_ms": self.now + 3000.0, "gateway_count": len(self.nodes), "first_gateway": 0} | more
         node.now = self.now
         self.act(k, node.do(i.Request(rid, "look", plan, customer, units=units, **fields)))
         return rid
@@ -187,7 +187,7 @@
         """The gateway comes back with nothing but its list."""
         self.dead.discard(k)
         self.events = [e for e in self.events if e[1] != k]
-        self.nodes[k] = Gateway(self.nodes[k].policy.s, 60, self.now)
+        self.nodes[k] = Gateway(self.nodes[k].policy.settings, 60, self.now)
         self.act(k, self.nodes[k].policy.start())
 
     def sent(self) -> int:
--- a/tests/daemon/test_parts.py
+++ b/tests/daemon/test_parts.py
@@ -56,10 +56,10 @@
     settings = i.Settings(0, 1, "a", (cls,), (plan, replace(plan, name="free", ceiling_rate=0.0)))
     policy = Policy(settings, 1, 0.0)
     policy.handle(0.0, i.Members(i.Scope.FULL, (i.Server("n:1"), i.Server("n:2"))))
-    policy.room.finished.add(1e6, 0.0)
+    policy.capacity.finished.add(1e6, 0.0)
 
     def let_in(plan: str, now: float) -> int:
-        policy.room.finished.add(1e5, now)
+        policy.capacity.finished.add(1e5, now)
         policy.handle(now, i.Timer(0))
         n = 0
         for k in range(100):
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -18,7 +18,7 @@
     i.RequestClass("booking", 1200.0, 3000.0, 5.0, 0.0, i.Effect.KEYED, i.Group.ZONE, window_ms=6000.0),
 )
 SETTINGS = i.Settings(
-    me=0, gateways=1, zone="a", classes=CLASSES,
+    gateway=0, gateways=1, zone="a", classes=CLASSES,
     plans=(i.Plan("wide", rate=1000.0, burst=1000.0), i.Plan("tight", rate=0.1, burst=1.0, over_cost=0.5)),
     rules=i.Rules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 1500.0),
     limits=i.Limits(max_attempts=4, cancel=True, retry_after=True, max_retry_after_ms=500.0),
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -122,8 +122,8 @@
     from rushweir.edge.backends import PoolSettings
 
     edge = Edge(pool=PoolSettings(2))
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(3, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(3, edge.now)
     for n in range(5):
         edge.say(edge.connect(), request(f"r{n}"))
     assert len(edge.core.pool.links) == 2 and edge.core.pool.counts["no_connection"] > 0
@@ -178,7 +178,13 @@
         page = {"version": 9 + n, "full": True, "servers": [{**LIST["servers"][0], "id": f"s-{n}"}]}
         edge.say(edge.core.list.conn, answer(orjson.dumps(page)))
     core = edge.core
-    held = (core.pool.nodes, core.pool.where_listed, core.nodes.held, edge.policy.fleet.servers, core.watch.nodes)
+    held = (
+        core.pool.nodes,
+        core.pool.where_listed,
+        core.nodes.held,
+        edge.policy.server_pool.servers,
+        core.watch.nodes,
+    )
     assert [len(h) for h in held] == [1] * 5
 
 
@@ -260,8 +266,8 @@
 
 def test_a_connection_that_rested_serves_who_waits_for_a_dial():
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(1, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(1, edge.now)
     _, up = edge.sent(request("one"))
     edge.say(up, answer())
     edge.say(other := edge.connect(), request("two"))
@@ -274,8 +280,8 @@
 def test_connections_that_go_together_go_in_one_order():
     """They lay in a set, whose order is another in each process: equal events have to give equal orders."""
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(1, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(1, edge.now)
     for n in range(12):
         edge.say(edge.connect(), request(f"r{n}"))
     dials = [o.conn for o in edge.seen if isinstance(o, c.Dial) and o.port == 80]
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -76,7 +76,7 @@
     one_dial(edge)
     edge.say(edge.links()[0], answer())
     edge.pass_ms(REST_MS + 5.0)
-    edge.policy.fleet.rng.seed(1)
+    edge.policy.server_pool.rng.seed(1)
     for k in range(2, 9):
         edge.asked(f"r{k}")
 
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_owed.py
@@ -14,9 +14,9 @@
 from rushweir.edge.front import ClientConnection
 from rushweir.ingress.clients import Clients
 from rushweir.ingress.engine import Engine
-from rushweir.policy.decide import Policy
+from rushweir.policy.gateway_policy import Policy
 from rushweir.policy.quota import Quota
-from rushweir.state import Parts
+from rushweir.state import Partitions
 from tests.edge.owed import Orders
 
 QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
@@ -45,23 +45,23 @@
 
 
 def repeats_all(monkeypatch):
-    real = Policy.again
+    real = Policy.retry_or_finish
 
     def again(self, t):
-        t.ran = None
+        t.first_executed = None
         return real(self, t)
 
-    monkeypatch.setattr(Policy, "again", again)
+    monkeypatch.setattr(Policy, "retry_or_finish", again)
 
 
 def repeats_late(monkeypatch):
-    real = Policy.again
+    real = Policy.retry_or_finish
 
     def again(self, t):
-        t.cls = replace(t.cls, window_ms=1e9)
+        t.request_class = replace(t.request_class, window_ms=1e9)
         return real(self, t)
 
-    monkeypatch.setattr(Policy, "again", again)
+    monkeypatch.setattr(Policy, "retry_or_finish", again)
 
 
 def deaf_to_drains(monkeypatch):
@@ -102,7 +102,7 @@
 
 
 def keeps_room(monkeypatch):
-    monkeypatch.setattr(Parts, "give_back", lambda self, grant: None)
+    monkeypatch.setattr(Partitions, "release", lambda self, grant: None)
 
 
 def keeps_places(monkeypatch):
--- a/tests/edge/test_process.py
+++ b/tests/edge/test_process.py
@@ -279,4 +279,4 @@
     (tmp_path / "config.json").write_bytes(orjson.dumps(page))
     config = load({"EDGE_CONFIG": str(tmp_path / "config.json")})
     assert config.idle_ms == held and setup(config).pool.idle_ms == held
-    assert config.settings.limits.conn_idle_ms in (held, 0.0)
+    assert config.settings.limits.connection_idle_ms in (held, 0.0)
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -12,8 +12,8 @@
 from rushweir.edge.backends import PoolSettings
 from rushweir.ingress import commands as c
 from rushweir.overload.decisions import BEAT_MS
-from rushweir.policy.room import AIM_PART, START_RATE
-from rushweir.policy.times import MEMORY_MS
+from rushweir.policy.in_flight_capacity import AIM_SHARE, START_UNITS_PER_S
+from rushweir.policy.time_constants import MEMORY_MS
 from tests.edge.conftest import CLASSES, LIST, SETTINGS, Edge, answer, request
 
 ALLOWED_MS = 4_000.0
@@ -132,7 +132,7 @@
 
 
 def test_with_the_ledger_full_all_is_turned_away_until_the_first_of_it_is_over():
-    edge = Busy(replace(MADE, limits=replace(MADE.limits, max_open=3)))
+    edge = Busy(replace(MADE, limits=replace(MADE.limits, max_open_requests=3)))
     edge.stuck = {b"stuck"}
     for k in range(3):
         edge.ask(rid=f"stuck{k}")
@@ -142,8 +142,8 @@
 
 def test_with_all_connections_to_backends_busy_all_is_turned_away_until_the_first_is_free():
     edge = Busy(MADE, pool=PoolSettings(2))
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(3, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(3, edge.now)
     edge.stuck = {b"stuck"}
     for k in range(2):
         edge.ask(rid=f"stuck{k}")
@@ -163,13 +163,13 @@
     where thirty ingresses share three servers it is longer than 4 s (14.8 s after nine units): docs/endings.md."""
     classes, sharing = CLASSES[:1], replace(MADE.sharing, largest_request=units)
     edge = Busy(replace(MADE, gateways=gateways, classes=classes, sharing=sharing))
-    room, edge.stuck = edge.policy.room, {b"long"}
+    room, edge.stuck = edge.policy.capacity, {b"long"}
     edge.ask(units=units, rid="long")
     assert len(edge.sent_at) == 0 and edge.core.pool.links  # on its way
     edge.play(out_ms)
     for conn in [k.conn for k in edge.core.pool.links.values() if k.job is not None]:
         edge.say(conn, answer())
-    least = START_RATE * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_PART
+    least = START_UNITS_PER_S * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_SHARE
     debt = max(0.0, -room.credit)
     assert debt <= MEMORY_MS * room.mean_units
     shut = edge.play(debt / least + 2_000.0)
@@ -181,7 +181,7 @@
 def test_no_debt_of_the_room_is_larger_than_its_bound():
     """However many were out for however long: what is owed is forgotten beyond that."""
     edge = Busy(replace(MADE, gateways=30, classes=CLASSES[:1]))
-    room = edge.policy.room
+    room = edge.policy.capacity
     room.credit = -1e9
     edge.play(200.0)
     assert -MEMORY_MS * room.mean_units <= room.credit < 0 and not edge.sent_at
--- a/tests/ingress/conftest.py
+++ b/tests/ingress/conftest.py
@@ -51,7 +51,7 @@
         self.shell: Shell | None = None
         self.clients: list[Client] = []
         self.settings = i.Settings(
-            me=0, gateways=1, zone="a", classes=CLASSES, plans=PLANS, rules=RULES, limits=LIMITS,
+            gateway=0, gateways=1, zone="a", classes=CLASSES, plans=PLANS, rules=RULES, limits=LIMITS,
         )  # fmt: skip
         self.front = FrontSettings(path="/dispatch")
         self.pool = PoolSettings()
@@ -84,8 +84,8 @@
             ready = sum(s.state is i.State.READY for s in self.list.servers.values())
         await self.until(lambda: sum(s.state is i.State.READY for s in core.nodes.held.values()) >= ready)
         if room and isinstance(policy, Policy):
-            policy.room.finished.add(room * 4, core.now)  # as if that much had been finished lately
-            policy.room.partition(len(policy.fleet.ready), core.now)
+            policy.capacity.finished.add(room * 4, core.now)  # as if that much had been finished lately
+            policy.capacity.partition(len(policy.server_pool.ready_servers), core.now)
         return self.url
 
     @property
--- a/tests/ingress/test_engine.py
+++ b/tests/ingress/test_engine.py
@@ -14,7 +14,9 @@
 from rushweir.watch.watch import Watch
 
 CLASSES = (i.RequestClass("look", 800, 3000, effect=i.Effect.SAFE), i.RequestClass("pay", 800, 3000))
-SETTINGS = i.Settings(0, 1, "a", CLASSES, (i.Plan("p"),), limits=i.Limits(max_attempts=2, max_open=3, cancel=True))
+SETTINGS = i.Settings(
+    0, 1, "a", CLASSES, (i.Plan("p"),), limits=i.Limits(max_attempts=2, max_open_requests=3, cancel=True)
+)
 WHO = Partner("hotel", "p")
 
 
@@ -137,7 +139,7 @@
     first, odd = take(engine)
     assert isinstance(odd, c.Remark)
     engine.advance(0.0)
-    assert policy.seen[-1] == i.Outcome("b-1", 1, "n:2", i.Result.MOOT, 0.0, False)
+    assert policy.seen[-1] == i.Outcome("b-1", 1, "n:2", i.Result.SUPERSEDED, 0.0, False)
     policy.answers[i.Outcome] = lambda e: [i.Send(e.id, "n:3")] if not e.settled else []
     engine.outcome(5.0, first.attempt, i.Result.ERROR)
     assert [type(x) for x in drain(engine)] == [c.Remark]  # a third one: two are allowed
--- a/tests/ingress/test_hard_cases.py
+++ b/tests/ingress/test_hard_cases.py
@@ -31,10 +31,10 @@
         await p.until(lambda: p.core.engine.counts["left"] == 1)
         assert p.core.engine.ledger.owed == 0
         assert len(p.core.engine.ledger.entries) == 1  # its attempt is still out
-        assert sum(p.core.engine.policy.room.parts.used) == 1.0
+        assert sum(p.core.engine.policy.capacity.partitions.used) == 1.0
         await p.until(lambda: not p.core.engine.ledger.entries)  # the node has answered
-        assert sum(p.core.engine.policy.room.parts.used) == 0.0  # its place is back
-        assert not p.core.engine.policy.tickets
+        assert sum(p.core.engine.policy.capacity.partitions.used) == 0.0  # its place is back
+        assert not p.core.engine.policy.pending
         assert kind(await stayer.ask("position", {"data": {"work": 1}})) == "served"
         assert not leaver.answers and len(p.arrivals(cls="booking")) == 1
         assert p.core.counts["answers_to_nobody"] == 0
@@ -316,7 +316,7 @@
 
 def test_the_policy_raises_at_a_request(place):
     async def body(p):
-        faulty(p, lambda e: isinstance(e, i.Request) and e.cls == "pay")
+        faulty(p, lambda e: isinstance(e, i.Request) and e.class_name == "pay")
         await p.nodes(2)
         await p.start()
         client = await p.client()
@@ -367,7 +367,7 @@
         assert Counter(why(r) for r in replies)["ingress_full"] == 4
 
     async def limited(p):
-        p.settings = with_limits(p.settings, max_open=4)
+        p.settings = with_limits(p.settings, max_open_requests=4)
         await body(p)
 
     place(limited)
@@ -375,15 +375,15 @@
 
 def test_open_limit_places_come_back(place):
     async def body(p):
-        p.settings = replace(p.settings, plans=(*PLANS, i.Plan("two", open_limit=2)))
+        p.settings = replace(p.settings, plans=(*PLANS, i.Plan("two", max_in_flight=2)))
         await p.nodes(2)
         await p.start()
         client = await p.client()
         for _ in range(30):
             assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
         assert p.core.engine.ledger.owed == 0
-        kept = p.core.engine.policy.quota.kept
-        assert all(not s.out for s in kept.values())
+        kept = p.core.engine.policy.quota.owned_buckets
+        assert all(not s.in_flight for s in kept.values())
 
     place(body)
 
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -181,7 +181,7 @@
     w.pool.congested(conn)
     waiting = w.attempt()
     w.pool.expire(5.0, waiting)
-    assert w.results() == [i.Result.MOOT]  # it was never written
+    assert w.results() == [i.Result.SUPERSEDED]  # it was never written
     w.pool.drained(5.0, conn)
     w.pool.expire(6.0, out)
     w.carry()
@@ -218,7 +218,7 @@
         w.attempt()
     assert len(w.dials) == 2
     w.attempt()
-    assert w.results() == [i.Result.MOOT]  # the cap is this side's: nothing was sent
+    assert w.results() == [i.Result.SUPERSEDED]  # the cap is this side's: nothing was sent
     for d in list(w.dials):
         w.up(d.conn)
     assert sorted(conn for conn, _ in w.calls) == sorted([w.dials[0].conn, w.dials[1].conn] * 2)
@@ -240,14 +240,14 @@
     w.pool.notified(900.0, {NODE: i.State.DRAINING})  # told again: the first time counts
     w.pool.drained(1100.0, conn)
     w.carry()
-    assert w.results() == [i.Result.MOOT] and len(w.calls) == 1
+    assert w.results() == [i.Result.SUPERSEDED] and len(w.calls) == 1
     w.now = 1200.0
     w.attempt()
-    assert w.results() == [i.Result.MOOT]
+    assert w.results() == [i.Result.SUPERSEDED]
     w.pool.notified(1300.0, {})  # gone from the list
     w.now = 1301.0
     w.attempt()
-    assert w.results() == [i.Result.MOOT]
+    assert w.results() == [i.Result.SUPERSEDED]
     w.pool.notified(1400.0, {NODE: i.State.READY})
     w.now = 1400.0
     w.attempt()
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -71,7 +71,7 @@
             self.world.serial += 1
             rid = f"{self.me}-{self.world.serial}"
             self.world.whose[rid] = name
-            self.policy.room.finished.add(1e4, now)
+            self.policy.capacity.finished.add(1e4, now)
             self.act(self.policy.handle(now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.spread, p.first)))
 
     def act(self, actions: list[i.Action]) -> None:
@@ -306,7 +306,7 @@
     policy.handle(0.0, i.Members(i.Scope.FULL, (i.Server("n:1"),)))
     for units in (0.0, 1e-9, 1.0):
         assert isinstance(policy.handle(5000.0, i.Request(str(units), "c", CLOSED, "x", 9000.0, units))[0], i.Refuse)
-        assert not policy.quota.keep(77, shut.plans[200], units, 5000.0, (1, 1), 1)
+        assert not policy.quota.decide_as_owner(77, shut.plans[200], units, 5000.0, (1, 1), 1)
     assert isinstance(policy.handle(5000.0, i.Request("y", "c", "a", "y", 9000.0))[0], i.Send)
 
 
@@ -324,7 +324,7 @@
     b = Between().changed(1, {f"c{k}": (0, 2) for k in range(12)})
     ways, made = ceilings.acting(b, {f"c{k}": (f"p{k}", (0, 3)) for k in range(12)}, plans, 0, 4, 1.0)
     assert len(made) == 8 and sum(w == Acting(CLOSED, 0) for w in ways.values()) == 5
-    assert (made[0].ceiling_rate, made[0].open_limit) == (3.0, 1) and made[-1].name == CLOSED
+    assert (made[0].ceiling_rate, made[0].max_in_flight) == (3.0, 1) and made[-1].name == CLOSED
 
 
 def test_slots_are_checked():
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -33,8 +33,8 @@
     class Greedy(Policy):
         def __init__(self, *args):
             super().__init__(*args)
-            self.fleet.warmth = lambda b, now: 1.0
-            self.room.fits = lambda *a: [0]
+            self.server_pool.warm_up = lambda b, now: 1.0
+            self.capacity.find_partitions = lambda *a: [0]
 
     found = ColdFleet(Scene(30, 12, load=1.5, seconds=3.0, starts=((0.0, 12),)), Greedy).run()
     assert found.falls > 0
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,7 +10,7 @@
 
 from rushweir import interface as i
 
-LIMITS = replace(SETTINGS.limits, conn_idle_ms=15_000.0)
+LIMITS = replace(SETTINGS.limits, connection_idle_ms=15_000.0)
 
 
 def dials(gateway: Gateway, count: int, step: float = 250.0) -> tuple[int, Counter[str]]:
@@ -48,19 +48,19 @@
     gateway = Gateway(replace(SETTINGS, limits=LIMITS), servers=1)
     rid, send = gateway.ask()
     gateway.end(rid, send)
-    server = gateway.policy.fleet.servers["s0"]
-    assert server.free(gateway.now - 1.0, False)
+    server = gateway.policy.server_pool.servers["s0"]
+    assert server.has_free_connection(gateway.now - 1.0, False)
     rid, send = gateway.ask()
-    assert not server.free(gateway.now - 1.0, False)  # in use
+    assert not server.has_free_connection(gateway.now - 1.0, False)  # in use
     gateway.end(rid, send, result, settled=True)
-    assert not server.free(gateway.now - 1.0, False)
+    assert not server.has_free_connection(gateway.now - 1.0, False)
 
 
 def test_many_streams_go_over_one_connection_and_what_is_known_of_idle_ones_is_bounded():
-    gateway = Gateway(replace(SETTINGS, limits=replace(LIMITS, streams=32)), servers=1)
+    gateway = Gateway(replace(SETTINGS, limits=replace(LIMITS, streams_per_connection=32)), servers=1)
     rid, send = gateway.ask()
-    server = gateway.policy.fleet.servers["s0"]
-    assert server.free(gateway.now, True) and not server.free(gateway.now, False)
+    server = gateway.policy.server_pool.servers["s0"]
+    assert server.has_free_connection(gateway.now, True) and not server.has_free_connection(gateway.now, False)
     gateway.end(rid, send)
     gateway.serve(2000, spent=20.0)
-    assert len(server.idle) <= 1
+    assert len(server.idle_connections) <= 1
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -21,7 +21,7 @@
 def test_start_room_is_split_over_the_gateways(make):
     """Twelve gateways each took a few attempts a server, and drowned the fleet (ieb69a0)."""
     few, many = make(gateways=3, servers=60), make(gateways=12, servers=60)
-    assert sum(many.policy.room.parts.sizes) * 3 < sum(few.policy.room.parts.sizes)
+    assert sum(many.policy.capacity.partitions.sizes) * 3 < sum(few.policy.capacity.partitions.sizes)
 
 
 def test_attempt_on_a_silent_server_is_taken_back_and_repeated(gateway):
@@ -53,7 +53,7 @@
     assert isinstance(again, i.SetTimer) and again.after_ms == pytest.approx(320.0)
     gateway.now += 320.0
     if pressed:
-        gateway.policy.room.outcomes.bad.add(100, gateway.now)
+        gateway.policy.capacity.outcomes.failures.add(100, gateway.now)
     assert checked(gateway, rid) == ([] if pressed else [i.Cancel(rid, 0)])
 
 
@@ -73,7 +73,9 @@
 def test_start_room_counts_units_not_attempts(make):
     """Where a request counts several units, a pressed gateway's least room held one or two (ieaa566)."""
     gateway = make(sharing=i.Sharing(largest_request=6.0))
-    assert sum(gateway.policy.room.parts.sizes) == pytest.approx(3.5 * sum(make().policy.room.parts.sizes))
+    assert sum(gateway.policy.capacity.partitions.sizes) == pytest.approx(
+        3.5 * sum(make().policy.capacity.partitions.sizes)
+    )
 
 
 def test_cheap_work_leaves_room_for_dear_work(make):
@@ -152,10 +154,10 @@
     gateway = make(servers=6, gateways=30)
     gateway.serve(20, cls="pay")
     rid, _ = gateway.ask(cls="pay")
-    assert gateway.policy.room.parts.full() > 0
+    assert gateway.policy.capacity.partitions.utilization() > 0
     gateway.now += 700.0
     assert checked(gateway, rid) == []
-    assert gateway.policy.room.parts.full() == 0
+    assert gateway.policy.capacity.partitions.utilization() == 0
 
 
 def test_without_answers_in_time_there_are_no_repeats(gateway):
@@ -182,7 +184,7 @@
     assert isinstance(gateway.ask()[1], i.Refuse)
     gateway.list(*(i.Server(f"s{k}") for k in range(2)))
     answers = [gateway.ask()[1] for _ in range(60)]
-    advice = [a.stay_away_ms for a in answers if isinstance(a, i.Refuse)]
+    advice = [a.retry_after_ms for a in answers if isinstance(a, i.Refuse)]
     assert len(advice) > 30
     assert all(0 < ms <= 200.0 for ms in advice)  # the time in flight of its class at most
 
@@ -191,7 +193,7 @@
     """A refusal for the ceiling advised nothing, so tries came back at once, in vain."""
     _, first = gateway.ask("capped")  # 20 units a second, and nothing has filled yet
     assert isinstance(first, i.Refuse)
-    assert (first.why, round(first.stay_away_ms)) == ("ceiling", 75)
+    assert (first.reason, round(first.retry_after_ms)) == ("ceiling", 75)
     gateway.now += 75.0
     assert isinstance(gateway.ask("capped")[1], i.Send)
 
--- a/tests/test_many_doors.py
+++ b/tests/test_many_doors.py
@@ -9,7 +9,7 @@
 
 from rushweir import interface as i
 from rushweir import state as st
-from rushweir.policy.quota import DONE, ENTRY, YES
+from rushweir.policy.quota import ADMITTED, ENTRY_FORMAT, SETTLE
 
 SOURCES = {"peers": i.Sharing(peers=True, messages_per_s=60.0), "counter": i.Sharing(counter=True)}
 
@@ -44,7 +44,7 @@
 def test_dead_keeper_is_replaced_and_its_return_hands_out_one_burst_at_most(wire):
     net = wire(20)
     ask_round(net, 5, 10)
-    keeper = next(k for k, n in enumerate(net.nodes) if n.policy.quota.kept)
+    keeper = next(k for k, n in enumerate(net.nodes) if n.policy.quota.owned_buckets)
     net.dead.add(keeper)
     for k in range(100):
         net.ask(next(d for d in range(k, k + 20) if d % 20 != keeper) % 20)
@@ -117,7 +117,7 @@
 
 def test_gateway_outside_the_customers_doors_asks_its_keeper(wire):
     net = wire(10)
-    net.ask(9, spread=3, first=0)
+    net.ask(9, gateway_count=3, first_gateway=0)
     net.run(500.0)
     assert net.sent() == 1
 
@@ -155,23 +155,23 @@
     net.nodes[door].do(i.Gone(rid))
     net.run(300.0)
     assert rid not in net.finals
-    (store,) = [s for node in net.nodes for s in node.policy.quota.kept.values()]
-    assert store.level + net.n - 1 >= 6.0 - 1e-6
+    (store,) = [s for node in net.nodes for s in node.policy.quota.owned_buckets.values()]
+    assert store.tokens + net.n - 1 >= 6.0 - 1e-6
 
 
 def test_end_whose_word_was_lost_costs_a_place_for_a_second_only(wire):
     """Ends freed the oldest place, so one lost word cost a place for as long as others came (h499d24)."""
     net = wire(6, 60)
-    quota, plan = net.nodes[0].policy.quota, i.Plan("open", open_limit=2)
-    assert quota.keep(7, plan, 1.0, 0.0, (1, 1))  # its end is never told
+    quota, plan = net.nodes[0].policy.quota, i.Plan("open", max_in_flight=2)
+    assert quota.decide_as_owner(7, plan, 1.0, 0.0, (1, 1))  # its end is never told
     for k in range(2, 30):
         now = k * 100.0
-        inside = quota.keep(7, plan, 1.0, now, (2, k))
+        inside = quota.decide_as_owner(7, plan, 1.0, now, (2, k))
         assert inside
-        assert quota.keep(7, plan, 1.0, now, (2, k))  # asked again: the same place
-        assert quota.keep(7, plan, 1.0, now, (3, k)) == (now > 1000.0)
+        assert quota.decide_as_owner(7, plan, 1.0, now, (2, k))  # asked again: the same place
+        assert quota.decide_as_owner(7, plan, 1.0, now, (3, k)) == (now > 1000.0)
         for door in (2, 3):
-            quota.kept[7].settle(0.0, (door, k), plan.burst)
+            quota.owned_buckets[7].settle(0.0, (door, k), plan.burst)
 
 
 def test_an_end_is_told_twice_and_counts_once(wire):
@@ -182,17 +182,17 @@
     for _ in range(200):
         net.run(2.0)
         mail = [e for e in net.events if isinstance(e[2], i.PeerMessage)]
-        ends = [e for e in mail if st.unpack(ENTRY, e[2].text)[0][0] == DONE]
+        ends = [e for e in mail if st.unpack_entries(ENTRY_FORMAT, e[2].text)[0][0] == SETTLE]
         if ends and not lost:
             net.events.remove(ends[0])
             lost += 1
     assert lost == 1
-    (store,) = [s for n in net.nodes for s in n.policy.quota.kept.values()]
-    assert not store.out
-    store.out[1, 1], level = net.now, store.level
+    (store,) = [s for n in net.nodes for s in n.policy.quota.owned_buckets.values()]
+    assert not store.in_flight
+    store.in_flight[1, 1], level = net.now, store.tokens
     for _ in range(2):
         store.settle(-1.0, (1, 1), 100.0)
-    assert store.level == level + 1.0 and not store.out
+    assert store.tokens == level + 1.0 and not store.in_flight
 
 
 @pytest.mark.parametrize("refused", [False, True])
@@ -204,19 +204,19 @@
     door = (keeper + 1) % 13
     net.dead |= set(range(13)) - {door}
     node = net.nodes[door].policy
-    net.ask(door, plan="capped", first=0)
+    net.ask(door, plan="capped", first_gateway=0)
     customer = next(iter(node.quota.customers.values()))
-    (ticket,) = node.quota.held.values()
-    assert ticket.own and customer.ceiling < 2 * 20 / 13
+    (ticket,) = node.quota.held_requests.values()
+    assert ticket.own_ceiling_pays and customer.ceiling_tokens < 2 * 20 / 13
     if refused:
-        node.fleet.ready = []
+        node.server_pool.ready_servers = []
     net.run(400.0)  # nobody answers: the even part decides
-    assert bool(ticket.sends) is not refused
-    before = customer.ceiling
-    net.nodes[door].now, ticket.keeper = net.now, keeper
+    assert bool(ticket.attempts) is not refused
+    before = customer.ceiling_tokens
+    net.nodes[door].now, ticket.owner = net.now, keeper
     for _ in range(2):
         word(net.nodes[door], ticket)
-    assert customer.ceiling == before
+    assert customer.ceiling_tokens == before
 
 
 def first_keeper(net) -> int:
@@ -227,8 +227,8 @@
     """They were pruned only where a limit was looked up, and grew with the traffic."""
     quota, plan = make().policy.quota, i.Plan("rated", rate=1000.0, burst=1000.0)
     for k in range(500):
-        assert quota.keep(7, plan, 1.0, k * 100.0, (1, k))
-    assert len(quota.kept[7].out) <= 12
+        assert quota.decide_as_owner(7, plan, 1.0, k * 100.0, (1, k))
+    assert len(quota.owned_buckets[7].in_flight) <= 12
 
 
 def held(gateway, plan, customer="c", count=1):
@@ -244,38 +244,38 @@
 
 def word(gateway, t):
     """The keeper that was asked lets the request in."""
-    entry = (YES, t.c.index, t.c.hash, 500.0, 255, t.number)
-    return gateway.do(i.PeerMessage(t.keeper, b85encode(ENTRY.pack(*entry)).decode()))
+    entry = (ADMITTED, t.customer.plan_index, t.customer.key, 500.0, 255, t.number)
+    return gateway.do(i.PeerMessage(t.owner, b85encode(ENTRY_FORMAT.pack(*entry)).decode()))
 
 
 def elsewhere(gateway, plan="wide"):
     """A customer that another gateway keeps."""
     return next(
         f"c{k}" for k in range(99)
-        if gateway.policy.quota.customer(i.Request("x", "look", plan, f"c{k}", 1e9, 1.0, 3, 0), gateway.now).ranks[0]
+        if gateway.policy.quota.customer(i.Request("x", "look", plan, f"c{k}", 1e9, 1.0, 3, 0), gateway.now).owners[0]
     )  # fmt: skip
 
 
 def test_what_waits_for_a_keeper_takes_no_room(make):
     gateway = make(servers=6)
-    room, customer = gateway.policy.room, elsewhere(gateway)
-    room.parts.sizes, room.parts.used, room.most, room.value = [2.0], [0.0], 0.0, 0.0
+    room, customer = gateway.policy.capacity, elsewhere(gateway)
+    room.partitions.sizes, room.partitions.used, room.max_credit, room.mean_value = [2.0], [0.0], 0.0, 0.0
     ids = held(gateway, "wide", customer, 6)
-    assert sum(room.parts.used) == 0
-    actions = [a for rid in ids for a in word(gateway, gateway.policy.tickets[rid])]
+    assert sum(room.partitions.used) == 0
+    actions = [a for rid in ids for a in word(gateway, gateway.policy.pending[rid])]
     answers = [a for a in actions if isinstance(a, i.Send | i.Refuse)]
     assert [type(a) for a in answers] == [i.Send] * 2 + [i.Refuse] * 4
-    assert {a.why for a in answers[2:]} == {"room"} and sum(room.parts.used) == 2.0
+    assert {a.reason for a in answers[2:]} == {"room"} and sum(room.partitions.used) == 2.0
     # The units of those refused go back to the keeper, in the next messages that the bucket lets out.
     gateway.now += 1000.0
     told = [t.text for t in [*actions, *gateway.do(i.Timer(0))] if isinstance(t, i.Tell)]
-    entries = [e for text in told for e in st.unpack(ENTRY, text)]
+    entries = [e for text in told for e in st.unpack_entries(ENTRY_FORMAT, text)]
     assert [e[3] for e in entries if e[0] == 1] == [-1.0] * 4
 
 
 @pytest.mark.parametrize(("doors", "limit", "sent"), [(2, 2, 1), (3, 2, 1), (2, 4, 2)])
 def test_a_door_with_a_place_of_its_own_asks_nobody(make, doors, limit, sent):
-    plan = i.Plan("open", open_limit=limit)
+    plan = i.Plan("open", max_in_flight=limit)
     gateway = make(servers=60, plans=(plan,))
     actions = []
     for n in range(4):
@@ -289,6 +289,6 @@
 
 
 def test_where_doors_outnumber_places_the_keeper_is_asked(make):
-    gateway = make(servers=60, gateways=9, plans=(i.Plan("open", open_limit=2),))
+    gateway = make(servers=60, gateways=9, plans=(i.Plan("open", max_in_flight=2),))
     asks = [i.Request(f"q{n}", "look", "open", f"c{n}", gateway.now + 3000.0, 1.0, 9, 0) for n in range(9)]
     assert any(isinstance(a, i.Tell) for ask in asks for a in gateway.do(ask))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -10,43 +10,43 @@
 
 def set_room(gateway, lengths, asked, sizes=None):
     """A room with known lengths and popularities; sizes overrides the parts."""
-    room = gateway.policy.room
-    room.length = {n: st.Mean(v) for n, v in zip(("look", "book", "pay"), lengths, strict=True)}
+    room = gateway.policy.capacity
+    room.lengths = {n: st.RunningMean(v) for n, v in zip(("look", "book", "pay"), lengths, strict=True)}
     for name, amount in zip(("look", "book", "pay"), asked, strict=True):
-        room.asked[name].sum, room.asked[name].at = amount, gateway.now
+        room.popularity[name].decayed_sum, room.popularity[name].updated_at = amount, gateway.now
     room.partition(6, gateway.now)
     if sizes:
-        room.parts.sizes, room.parts.used = list(sizes), [0.0] * len(sizes)
-        room.most = 0.0  # nothing banked
-    room.value = 0.0  # no work is dearer than another here
+        room.partitions.sizes, room.partitions.used = list(sizes), [0.0] * len(sizes)
+        room.max_credit = 0.0  # nothing banked
+    room.mean_value = 0.0  # no work is dearer than another here
     return room
 
 
 def draw(room, name, units, now):
-    order = room.fits(name, units, 0.0, now)
-    return None if order is None else room.parts.draw(order, units)
+    order = room.find_partitions(name, units, 0.0, now)
+    return None if order is None else room.partitions.reserve(order, units)
 
 
 def press(gateway):
-    gateway.policy.room.outcomes.bad.add(1000, gateway.now)
-    gateway.policy.room.outcomes.all.add(1000, gateway.now)
+    gateway.policy.capacity.outcomes.failures.add(1000, gateway.now)
+    gateway.policy.capacity.outcomes.outcomes.add(1000, gateway.now)
 
 
 def test_ranges_double_from_the_shortest_and_the_top_is_closed(gateway):
     room = set_room(gateway, (100.0, 199.0, 400.0), (1, 1, 1))
-    assert [room.range_of(n) for n in ("look", "book", "pay")] == [0, 0, 1]
+    assert [room.length_range(n) for n in ("look", "book", "pay")] == [0, 0, 1]
     room = set_room(gateway, (100.0, 200.0, 401.0), (1, 1, 1))
-    assert [room.range_of(n) for n in ("look", "book", "pay")] == [0, 1, 2]
+    assert [room.length_range(n) for n in ("look", "book", "pay")] == [0, 1, 2]
 
 
 def test_equal_lengths_leave_one_range(gateway):
-    assert len(set_room(gateway, (100.0, 100.0, 100.0), (1, 5, 9)).parts.sizes) == 1
+    assert len(set_room(gateway, (100.0, 100.0, 100.0), (1, 5, 9)).partitions.sizes) == 1
 
 
 def test_parts_are_popularity_times_length(gateway):
     """With the prior of two: 10 x 100, 5 x 200, 5 x 400, so a quarter, a quarter and a half."""
     room = set_room(gateway, (100.0, 200.0, 401.0), (8, 3, 3))
-    parts = [s / sum(room.parts.sizes) for s in room.parts.sizes]
+    parts = [s / sum(room.partitions.sizes) for s in room.partitions.sizes]
     assert parts == pytest.approx([1000 / 4005, 1000 / 4005, 2005 / 4005])
 
 
@@ -57,8 +57,8 @@
     assert [g for g in grant if g[1]] == [(2, 2.0), (1, 3.0), (0, 2.0)]
     assert draw(room, "book", 3.0, gateway.now) is None
     assert [g for g in draw(room, "book", 2.0, gateway.now) if g[1]] == [(0, 2.0)]
-    room.parts.give_back(grant)
-    assert room.parts.used == [2.0, 0.0, 0.0]
+    room.partitions.release(grant)
+    assert room.partitions.used == [2.0, 0.0, 0.0]
     assert draw(room, "look", 3.0, gateway.now) is None
     assert draw(room, "look", 2.0, gateway.now) is not None
 
@@ -74,14 +74,14 @@
 
 
 def test_only_gateway_of_a_customer_has_the_whole_quota(make):
-    assert admitted(make(servers=60), 10, spread=1) == 6
+    assert admitted(make(servers=60), 10, gateway_count=1) == 6
 
 
 def test_nothing_to_hear_from_lets_one_in_and_then_the_even_part(make):
     """An even part that is less than one request must not refuse a customer inside its quota."""
     gateway = make(servers=60, sharing=i.Sharing())
-    assert admitted(gateway, 10, spread=3) == 2  # a burst of 6 over three gateways
-    assert admitted(make(servers=60, gateways=30, sharing=i.Sharing()), 10, spread=30) == 1
+    assert admitted(gateway, 10, gateway_count=3) == 2  # a burst of 6 over three gateways
+    assert admitted(make(servers=60, gateways=30, sharing=i.Sharing()), 10, gateway_count=30) == 1
 
 
 @pytest.mark.parametrize("text", ["", "hi 7", "0" * 11, "\u00e9" * 20])
@@ -99,7 +99,7 @@
 def test_refusal_says_when_the_store_holds_the_request(make):
     gateway = make(servers=60)
     admitted(gateway, 6)
-    assert 0 < gateway.ask("rated")[1].stay_away_ms <= 500.0
+    assert 0 < gateway.ask("rated")[1].retry_after_ms <= 500.0
 
 
 @pytest.mark.parametrize("ask", [{"plan": "none"}, {"cls": "none"}])
@@ -111,7 +111,7 @@
     assert isinstance(make(servers=0).ask()[1], i.Refuse)
 
 
-@pytest.mark.parametrize("change", [{"classes": ()}, {"plans": ()}, {"me": 3}])
+@pytest.mark.parametrize("change", [{"classes": ()}, {"plans": ()}, {"gateway": 3}])
 def test_settings_that_cannot_work_are_an_error(make, change):
     with pytest.raises(ValueError, match="settings need"):
         make(**change)
@@ -123,7 +123,7 @@
     gateway.now += 40000.0
     gateway.do(i.Timer(0))
     assert not gateway.policy.quota.customers
-    assert not gateway.policy.tickets
+    assert not gateway.policy.pending
 
 
 def test_most_servers_failing_ejects_none(gateway):
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -22,7 +22,7 @@
         self.policy = Policy(BASE, 3, 0.0)
         self.policy.start()
         self.policy.handle(0.0, i.Members(i.Scope.FULL, (i.Server("n:1"), i.Server("n:2"))))
-        self.policy.room.finished.add(1e6, 0.0)
+        self.policy.capacity.finished.add(1e6, 0.0)
 
     def adopt(self, **change) -> None:
         self.settings = replace(self.settings, **change)
@@ -38,7 +38,7 @@
                 self.policy.handle(self.now, i.Outcome(rid, 0, a.server, i.Result.OK, 5.0, True))
                 return "sent"
             if isinstance(a, i.Refuse):
-                return a.why
+                return a.reason
         raise AssertionError("neither sent nor refused")
 
     def let_in(self, **what) -> int:
@@ -106,16 +106,16 @@
     one.adopt(classes=(LOOK, i.RequestClass("fare", 500.0, 2000.0)))
     assert one.ask("fare") == "sent" and one.ask("look") == "sent"
     one.policy.handle(one.now + 50, i.Outcome("x", 0, send.server, i.Result.ERROR, 50.0))
-    assert "x" not in one.policy.tickets
+    assert "x" not in one.policy.pending
     one.adopt()
-    assert set(one.policy.room.classes) == {"look", "fare"}
+    assert set(one.policy.capacity.classes) == {"look", "fare"}
     assert one.ask("book") == "unknown"
 
 
 def test_what_was_learnt_stays(one):
-    one.policy.room.length["look"].value = 77.0
+    one.policy.capacity.lengths["look"].value = 77.0
     one.adopt(classes=(replace(LOOK, worth=9.0), BOOK))
-    assert one.policy.room.length["look"].value == 77.0 and one.policy.room.classes["look"].worth == 9.0
+    assert one.policy.capacity.lengths["look"].value == 77.0 and one.policy.capacity.classes["look"].worth == 9.0
 
 
 def test_the_same_settings_change_nothing():
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -70,7 +70,7 @@
     """The window counts from the client's first word, and a repeat that was decided in time was written up to a dial
     later: on a day with late dials one was dropped into by nobody's memory (harbour, zone+brink)."""
     short = replace(SETTINGS.classes[1], window_ms=700.0)
-    g = make(classes=(short,), limits=replace(SETTINGS.limits, dial_ms=250.0))
+    g = make(classes=(short,), limits=replace(SETTINGS.limits, dial_timeout_ms=250.0))
     rid, send = g.ask(cls="book")
     g.now += at
     actions = g.end(rid, send, i.Result.RESET, at)
@@ -95,8 +95,8 @@
     servers = [i.Server(f"s{k}", online_since_ms=1000.0 if k % 5 < 3 else 0.0) for k in range(60)]
     counts = dict.fromkeys((s.address for s in servers), 0)
     for seed in range(100):
-        gateway = make(gateways=100, limits=replace(SETTINGS.limits, conn_idle_ms=15_000.0))
-        gateway.policy.fleet.rng.seed(seed)
+        gateway = make(gateways=100, limits=replace(SETTINGS.limits, connection_idle_ms=15_000.0))
+        gateway.policy.server_pool.rng.seed(seed)
         gateway.list(*servers)
         for _ in range(10):
             rid, send = gateway.ask()
@@ -112,7 +112,7 @@
     gateway = make(servers=30)
     assert isinstance(gateway.ask("capped", units=1.0)[1], i.Refuse)
     gateway.now += 60000.0
-    taken = sum(isinstance(gateway.ask("capped", customer="c", spread=2)[1], i.Send) for _ in range(60))
+    taken = sum(isinstance(gateway.ask("capped", customer="c", gateway_count=2)[1], i.Send) for _ in range(60))
     assert taken <= 20
 
 
@@ -133,8 +133,8 @@
                 out.append((rid, send))
         if step % 50 == 0:
             gateway.do(i.Timer(0))
-        assert all(u >= 0 for u in gateway.policy.room.parts.used)
+        assert all(u >= 0 for u in gateway.policy.capacity.partitions.used)
     for rid, send in out:
         gateway.end(rid, send, i.Result.TIMEOUT, 900.0, settled=True)
-    assert sum(gateway.policy.room.parts.used) == pytest.approx(0.0, abs=1e-6)
-    assert not gateway.policy.tickets
+    assert sum(gateway.policy.capacity.partitions.used) == pytest.approx(0.0, abs=1e-6)
+    assert not gateway.policy.pending
