--- a/rushweir/policy/gateway_policy.py
+++ b/rushweir/policy/gateway_policy.py
@@ -4,10 +4,12 @@
 
 from rushweir import interface as i
 from rushweir import state as st
+from rushweir.pending_requests import PendingRequest
 from rushweir.policy.in_flight_capacity import LENGTH_ALPHA, InFlightCapacity
 from rushweir.policy.load_balancing import ServerPool
 from rushweir.policy.quota import COUNTER, OWNER_ORDER, Quota
 from rushweir.policy.time_constants import REPORT_LIFETIME_MS
+from rushweir.token_buckets import Customer
 
 TICK_MS = 100.0  # parts, mail that waits and what is owed to the counter are looked after this often
 ASK_TIMEOUT_MS = 60.0  # wait for a keeper's answer: two ways and two ticks
@@ -32,7 +34,7 @@
         self.settings, self.now = settings, now_ms
         self.retry_tokens = self.max_retry_tokens = 1 + MAX_RETRY_TOKENS / settings.gateways
         self.quota, self.capacity = Quota(settings, rng, now_ms), InFlightCapacity(settings, now_ms)
-        self.server_pool, self.pending = ServerPool(settings, rng, now_ms), dict[str, st.PendingRequest]()
+        self.server_pool, self.pending = ServerPool(settings, rng, now_ms), dict[str, PendingRequest]()
         self.checks, self.serial = dict[int, tuple[str, int, float]](), rng.randrange(2, 65536)
 
     def start(self) -> list[i.Action]:
@@ -100,13 +102,13 @@
             t.reservation = []
         return []
 
-    def is_retry_useful(self, t: st.PendingRequest) -> bool:
+    def is_retry_useful(self, t: PendingRequest) -> bool:
         """Whether one more attempt is within the limits, and likely to end within the aim."""
         ends = self.now + self.capacity.lengths[t.request.class_name].value
         left = self.retry_tokens >= 1 and len(t.attempts) < self.settings.limits.max_attempts
         return left and ends < min(t.aim_at, t.request.not_after_ms)
 
-    def ask_owner(self, t: st.PendingRequest, order: list[int] | None = None) -> list[i.Action]:
+    def ask_owner(self, t: PendingRequest, order: list[int] | None = None) -> list[i.Action]:
         """``order``: the parts it may draw from, where that was looked at just now."""
         c, units, now = t.customer, t.request.units, self.now
         own = int(c.plan.max_in_flight / c.gateway_count + 0.5)
@@ -133,12 +135,12 @@
         self.quota.enqueue_question(t)
         return [self.schedule_check(t, -t.ask_count, ASK_TIMEOUT_MS)]
 
-    def schedule_check(self, t: st.PendingRequest, n: int, after_ms: float, more_ms: float = 0.0) -> i.SetTimer:
+    def schedule_check(self, t: PendingRequest, n: int, after_ms: float, more_ms: float = 0.0) -> i.SetTimer:
         self.serial += 1
         self.checks[self.serial] = (t.request.id, n, more_ms)
         return i.SetTimer(self.serial, after_ms)
 
-    def decide(self, t: st.PendingRequest, inside: bool | None, order: list[int] | None = None) -> list[i.Action]:
+    def decide(self, t: PendingRequest, inside: bool | None, order: list[int] | None = None) -> list[i.Action]:
         if inside is None:  # the counter is late or full
             return self.ask_owner(t)
         r, c = t.request, t.customer
@@ -174,7 +176,7 @@
         )
         return [self.refusal(r, why, self.quota.estimate_wait_ms(c, r.units, not t.own_ceiling_pays))]
 
-    def admits_over_quota(self, c: st.Customer) -> bool:
+    def admits_over_quota(self, c: Customer) -> bool:
         free = (
             not self.capacity.under_pressure(self.now)
             and self.capacity.partitions.utilization() < OVER_QUOTA_MAX_UTILIZATION
@@ -200,11 +202,11 @@
         if (order := self.capacity.find_partitions(r.class_name, r.units, keep, now)) is None:
             return [self.refusal(r, "room", self.capacity.estimate_wait_ms(r.class_name, r.units))]
         self.serial += 1
-        t = self.pending[r.id] = st.PendingRequest(r, cls, c, keep, now + cls.aim_ms, self.serial % 65536)
+        t = self.pending[r.id] = PendingRequest(r, cls, c, keep, now + cls.aim_ms, self.serial % 65536)
         self.quota.charge_own_ceiling(t)
         return self.ask_owner(t, order)
 
-    def send_attempt(self, t: st.PendingRequest, b: st.ServerRecord) -> list[i.Action]:
+    def send_attempt(self, t: PendingRequest, b: st.ServerRecord) -> list[i.Action]:
         n, usual = (
             t.add_attempt(b, self.now),
             self.capacity.lengths[t.request.class_name].value * self.capacity.median_ratio,
@@ -235,7 +237,7 @@
             self.finish(t)
         return [] if t.answered or t.in_flight else self.retry_or_finish(t)
 
-    def retry_or_finish(self, t: st.PendingRequest) -> list[i.Action]:
+    def retry_or_finish(self, t: PendingRequest) -> list[i.Action]:
         now, cls, keyed = self.now, t.request_class, t.request_class.effect is i.Effect.KEYED
         # Keys are remembered from the client's first word at the earliest; a repeat may have to wait for its dial.
         ends = t.aim_at - cls.aim_ms + cls.window_ms - self.settings.limits.dial_timeout_ms
@@ -254,7 +256,7 @@
             else i.Fail(t.request.id)
         ]
 
-    def may_retry_on(self, t: st.PendingRequest, e: i.Server) -> bool:
+    def may_retry_on(self, t: PendingRequest, e: i.Server) -> bool:
         if (
             t.first_executed is None
             or t.request_class.effect is not i.Effect.KEYED
@@ -267,7 +269,7 @@
             else e.cell == t.first_executed[0].cell
         )
 
-    def finish(self, t: st.PendingRequest) -> None:
+    def finish(self, t: PendingRequest) -> None:
         t.answered = True
         if not t.in_flight and self.pending.pop(t.request.id, None) is not None:
             self.capacity.partitions.release(t.reservation)
--- a/rushweir/policy/quota.py
+++ b/rushweir/policy/quota.py
@@ -7,7 +7,10 @@
 
 from rushweir import interface as i
 from rushweir import state as st
+from rushweir.outbox import Outbox, unpack_entries
+from rushweir.pending_requests import PendingRequest
 from rushweir.policy.time_constants import MEMORY_MS, REPORT_LIFETIME_MS
+from rushweir.token_buckets import Customer, LeasedShare, TokenBucket
 
 OWNER_ORDER = (0, 0, 1)  # who is asked in turn
 MESSAGE_BURST, MAX_ENTRIES_PER_MESSAGE, MESSAGES_FOR_ANSWERS = (
@@ -34,13 +37,13 @@
 
     def __init__(self, settings: i.Settings, rng: random.Random, now: float) -> None:
         self.rng, self.started_at = rng, now
-        self.customers, self.owned_buckets = dict[int, st.Customer](), dict[int, st.TokenBucket]()
-        self.outbox = st.Outbox(
+        self.customers, self.owned_buckets = dict[int, Customer](), dict[int, TokenBucket]()
+        self.outbox = Outbox(
             ENTRY_FORMAT, settings.sharing.messages_per_s, MESSAGE_BURST, MAX_ENTRIES_PER_MESSAGE, now
         )
-        self.held_requests, self.unreported_customers = dict[int, st.PendingRequest](), dict[int, st.Customer]()
+        self.held_requests, self.unreported_customers = dict[int, PendingRequest](), dict[int, Customer]()
         self.counter_calls: dict[int, list[tuple]] = {}
-        self.leased_shares = dict[int, st.LeasedShare]()
+        self.leased_shares = dict[int, LeasedShare]()
         self.counter_interval_ms, self.next_call_at, self.swept_at = (
             COUNTER_INTERVAL_MS[0] * settings.gateways,
             now,
@@ -57,7 +60,7 @@
             self.change_plan(c, c.plan.name, now)
             c.gateway_count, c.owners = self.gateways_and_owners(c.key, *c.gateway_range)
 
-    def change_plan(self, c: st.Customer, plan: str, now: float) -> None:
+    def change_plan(self, c: Customer, plan: str, now: float) -> None:
         """To another plan, or to other quotas of the same. Of a ceiling that is new nothing is there yet."""
         if plan in self.plans and self.plans[plan] != (c.plan_index, c.plan):
             self.refill(c, now)
@@ -66,14 +69,14 @@
             c.ceiling_refilled_at = now
             self.refill(c, now)
 
-    def refill(self, c: st.Customer, now: float) -> None:
+    def refill(self, c: Customer, now: float) -> None:
         c.refill(1 - self.owner_ceiling_share(c.plan), now)
 
     def apply_lease(self, e: i.Part, now: float) -> None:
         """Another part of a ceiling. What its bucket has beyond the new burst is gone."""
         key = crc32(e.customer.encode()) if isinstance(e.customer, str) else e.customer
         lent, c, store = (
-            self.leased_shares.setdefault(key, st.LeasedShare(now)),
+            self.leased_shares.setdefault(key, LeasedShare(now)),
             self.customers.get(key),
             self.owned_buckets.get(key),
         )
@@ -95,13 +98,13 @@
         """Of a ceiling the first keeper has a part, for doors whose even part is spent; unheard it is idle."""
         return OWNER_CEILING_SHARE if plan.ceiling_rate and self.sharing.peers and not self.sharing.counter else 0.0
 
-    def charge_own_ceiling(self, t: st.PendingRequest) -> bool:
+    def charge_own_ceiling(self, t: PendingRequest) -> bool:
         """Take the units from the own part of the ceiling, if it has them."""
         if not t.own_ceiling_pays and t.customer.ceiling_tokens >= t.request.units:
             t.own_ceiling_pays, t.customer.ceiling_tokens = True, t.customer.ceiling_tokens - t.request.units
         return t.own_ceiling_pays
 
-    def owner_charged_ceiling(self, t: st.PendingRequest) -> bool:
+    def owner_charged_ceiling(self, t: PendingRequest) -> bool:
         """Whether the keeper that let it in paid for it: only the first has a part."""
         return (
             not t.own_ceiling_pays
@@ -110,7 +113,7 @@
             and self.owner_ceiling_share(t.customer.plan) > 0
         )
 
-    def customer(self, r: i.Request, now: float) -> st.Customer | None:
+    def customer(self, r: i.Request, now: float) -> Customer | None:
         key = crc32(r.customer.encode())
         c = self.customers.get(key)
         if c is None:
@@ -119,11 +122,11 @@
             index, plan = self.plans[r.plan]
             doors, ranks = self.gateways_and_owners(key, r.first_gateway, r.gateway_count)
             # Of a ceiling only the own part is spent; what a predecessor left of it is unknown.
-            store = st.TokenBucket(plan.burst, MEMORY_MS, now)
-            c = self.customers[key] = st.Customer(plan, index, key, doors, ranks, store, self.started_at)
+            store = TokenBucket(plan.burst, MEMORY_MS, now)
+            c = self.customers[key] = Customer(plan, index, key, doors, ranks, store, self.started_at)
             c.gateway_range = r.first_gateway, r.gateway_count
             if self.sharing.leased_ceilings:
-                c.leased_share = self.leased_shares.setdefault(key, st.LeasedShare(now))
+                c.leased_share = self.leased_shares.setdefault(key, LeasedShare(now))
                 c.ceiling_refilled_at = c.leased_share.updated_at
         elif c.plan.name != r.plan:
             self.change_plan(c, r.plan, now)
@@ -131,7 +134,7 @@
         self.refill(c, now)
         return c
 
-    def choose_owner(self, c: st.Customer, asks: int, now: float) -> int | None:
+    def choose_owner(self, c: Customer, asks: int, now: float) -> int | None:
         if self.sharing.counter and c.owners != [self.settings.gateway]:
             return COUNTER if c.plan.rate and not asks and now >= self.next_call_at else None
         if asks >= len(OWNER_ORDER) or not (self.sharing.peers or c.owners == [self.settings.gateway]):
@@ -141,13 +144,13 @@
         least = MESSAGES_FOR_ANSWERS * (1 if c.unreported_units or c.reported_by is not None else 2)
         return to if to == self.settings.gateway or self.outbox.available_messages(now) >= least else None
 
-    def is_hopeless(self, c: st.Customer, units: float, now: float) -> bool:
+    def is_hopeless(self, c: Customer, units: float, now: float) -> bool:
         """Whether by a fresh word the store has too little; or so little, by one not too old, that only a share asks:
         all doors draw on it, and where words were lost for too much mail all asked again and lost more."""
         sieved = c.is_low(LOW_SHARE, now - MEMORY_MS) and self.rng.random() > OVERSAMPLING * c.granted_share
         return c.plan.rate > 0 and (sieved or (now - c.reported_at < REPORT_LIFETIME_MS and c.bucket.tokens < units))
 
-    def decide_by_equal_share(self, t: st.PendingRequest, now: float) -> bool:
+    def decide_by_equal_share(self, t: PendingRequest, now: float) -> bool:
         """Unasked for lack of mail the share last told decides (once); where none answered, the even part. What is
         let in is told later, twice if the question came and its answer did not."""
         c, units, asked = (
@@ -170,7 +173,7 @@
         nothing. ``over``: 1 if the door has nothing left of the ceiling, and 2 for each unit that it refused on a
         word since it last asked, or the share would grow as doors ask less."""
         if (store := self.owned_buckets.get(key)) is None:
-            store = self.owned_buckets[key] = st.TokenBucket(plan.burst, MEMORY_MS, now)
+            store = self.owned_buckets[key] = TokenBucket(plan.burst, MEMORY_MS, now)
             store.ceiling_refilled_at = self.started_at  # of the ceiling a predecessor may have spent all
         store.refill(plan.rate, plan.burst, now)
         part, lent = self.owner_ceiling_share(plan), self.leased_shares.get(key)
@@ -192,7 +195,7 @@
             store.in_flight[who] = now
         return inside
 
-    def estimate_wait_ms(self, c: st.Customer, units: float, own: bool = False) -> float:
+    def estimate_wait_ms(self, c: Customer, units: float, own: bool = False) -> float:
         """Advice, where the keeper's store or the own part of the ceiling lacks so much."""
         store, p, part = self.owned_buckets.get(c.key, c.bucket), c.plan, self.owner_ceiling_share(c.plan)
         quota = max(0.0, units - store.tokens) * 1000 / (p.rate * c.granted_share + 1e-9) * (p.rate > 0)
@@ -205,7 +208,7 @@
         )
         return max(quota, lacks * 1000 / rate if lacks else 0.0)
 
-    def settle(self, t: st.PendingRequest, more: float, over: bool) -> None:
+    def settle(self, t: PendingRequest, more: float, over: bool) -> None:
         c = t.customer
         if t.owner == self.settings.gateway and c.key in self.owned_buckets:
             self.owned_buckets[c.key].settle(
@@ -217,12 +220,12 @@
             end = (SETTLE, c.plan_index, c.key, more, over * (1 if t.own_ceiling_pays else 2), t.number)
             self.outbox.enqueue(t.owner, end, again=over and c.plan.max_in_flight > 0)
 
-    def add_unreported(self, c: st.Customer, units: float) -> None:
+    def add_unreported(self, c: Customer, units: float) -> None:
         c.unreported_units += units * (c.plan.rate > 0)
         if units and self.sharing.counter:
             self.unreported_customers[c.key] = c
 
-    def admits_unasked(self, t: st.PendingRequest, now: float) -> bool:
+    def admits_unasked(self, t: PendingRequest, now: float) -> bool:
         """Whether it is let in unasked, and told later: there is no quota but a ceiling, or the door's even part of
         the store that its first keeper told holds the try. A word counts while a keeper can answer all doors with
         half of its messages. Harm: other demand shows that much later."""
@@ -242,7 +245,7 @@
         self.add_unreported(c, t.request.units)
         return True
 
-    def enqueue_question(self, t: st.PendingRequest) -> None:
+    def enqueue_question(self, t: PendingRequest) -> None:
         self.held_requests[t.number] = t
         if units := t.customer.report_usage(t.owner, t.ask_count > 1):
             self.outbox.enqueue(t.owner, (SETTLE, t.customer.plan_index, t.customer.key, units, 0, 0))
@@ -258,7 +261,7 @@
             ),
         )
 
-    def call_counter(self, c: st.Customer, units: float, t: st.PendingRequest | None, now: float) -> i.Count:
+    def call_counter(self, c: Customer, units: float, t: PendingRequest | None, now: float) -> i.Count:
         epoch = now // COUNTER_EPOCH_MS
         name = c.key * 65536 + int(epoch) % 65536
         amount, c.unreported_units = units + c.unreported_units, 0.0
@@ -266,7 +269,7 @@
         self.counter_calls.setdefault(name, []).append((c, units, t, epoch * COUNTER_EPOCH_MS))
         return i.Count(name, amount, COUNTER_EPOCH_MS)
 
-    def handle_count(self, e: i.Counted, now: float) -> list[tuple[st.PendingRequest, bool | None]]:
+    def handle_count(self, e: i.Counted, now: float) -> list[tuple[PendingRequest, bool | None]]:
         if not self.counter_calls.get(e.name):
             return []
         c, units, ticket, began = self.counter_calls[e.name].pop(0)
@@ -285,12 +288,12 @@
         self.add_unreported(c, units * inside - units)
         return [(t, inside) for t in held]
 
-    def handle_message(self, e: i.PeerMessage | i.Counted, now: float) -> list[tuple[st.PendingRequest, bool | None]]:
+    def handle_message(self, e: i.PeerMessage | i.Counted, now: float) -> list[tuple[PendingRequest, bool | None]]:
         """The held requests that are answered; what is asked of this keeper is answered by mail."""
         if isinstance(e, i.Counted):
             return self.handle_count(e, now)
         answered = []
-        for kind, index, key, units, over, number in st.unpack_entries(ENTRY_FORMAT, e.text):
+        for kind, index, key, units, over, number in unpack_entries(ENTRY_FORMAT, e.text):
             c, plan = self.customers.get(key), self.settings.plans[min(index, len(self.settings.plans) - 1)]
             if kind == ASK:
                 told = ADMITTED if self.decide_as_owner(key, plan, units, now, (e.source, number), over) else REFUSED
--- a/rushweir/state.py
+++ b/rushweir/state.py
@@ -1,12 +1,9 @@
 """Plain records that the rules keep, and generic arithmetic; no decision is made here."""
 
 import math
-from base64 import b85decode, b85encode
 from collections import deque
 from collections.abc import Callable
 from heapq import nsmallest
-from struct import Struct
-from struct import error as StructError
 from zlib import crc32
 
 from rushweir import interface as i
@@ -75,136 +72,6 @@
             self.used[k] = max(0.0, self.used[k] - part)
 
 
-def refilled_tokens(level: float, rate: float, most: float, ms: float) -> float:
-    """A store that was at a level so long ago, filled at so many units a second."""
-    return min(most, level + rate * ms / 1000)
-
-
-class TokenBucket:
-    """A customer's store of units and attempts out, as a keeper holds it or a door was last told."""
-
-    __slots__ = ("refilled_at", "ceiling_tokens", "ceiling_refilled_at", "demand", "tokens", "in_flight")
-
-    def __init__(self, level: float, memory: float, now: float) -> None:
-        self.tokens, self.refilled_at, self.demand = level, now, DecayingRate(memory, now)
-        self.ceiling_tokens, self.ceiling_refilled_at = 0.0, now  # what a keeper has of the ceiling
-        self.in_flight = dict[tuple[int, int], float]()  # places taken: by which gateway and number, when
-
-    def refill(self, rate: float, most: float, now: float) -> None:
-        self.tokens, self.refilled_at = refilled_tokens(self.tokens, rate, most, now - self.refilled_at), now
-
-    def fill_ceiling(self, rate: float, most: float, now: float) -> None:
-        self.ceiling_tokens, self.ceiling_refilled_at = (
-            refilled_tokens(self.ceiling_tokens, rate, most, now - self.ceiling_refilled_at),
-            now,
-        )
-
-    def count_in_flight(self, since: float) -> int:
-        """Attempts out; older ones are forgotten."""
-        while self.in_flight and self.in_flight[first := next(iter(self.in_flight))] < since:
-            del self.in_flight[first]
-        return len(self.in_flight)
-
-    def settle(self, more: float, over: tuple[int, int] | None, most: float, paid: bool = False) -> None:
-        if over is not None and over not in self.in_flight:
-            return  # told before, or forgotten
-        self.tokens = min(most, self.tokens - more)
-        if over is not None:
-            self.ceiling_tokens -= (
-                more * paid
-            )  # never sent, if it gives back; what was only guessed too high stays spent
-            del self.in_flight[over]
-
-
-class LeasedShare:
-    """A part of a ceiling: a rate and a burst, given from time to time, and what it had no room for in all; ``kept``:
-    the same as a keeper has it."""
-
-    __slots__ = ("updated_at", "burst", "owner_share", "rate", "overflowed_tokens")
-
-    def __init__(self, now: float) -> None:
-        self.rate, self.burst, self.overflowed_tokens, self.updated_at, self.owner_share = (
-            0.0,
-            0.0,
-            0.0,
-            now,
-            (0.0, 0.0),
-        )
-
-
-class Customer:
-    """What a door knows of one customer: its last word of the store, and what it owes the keeper."""
-
-    def __init__(
-        self, plan: i.Plan, index: int, key: int, doors: int, ranks: list[int], store: TokenBucket, began: float
-    ) -> None:
-        self.plan, self.plan_index, self.key, self.gateway_count, self.owners = plan, index, key, doors, ranks
-        self.bucket, self.ceiling_refilled_at, self.last_seen_at, self.reported_at = (
-            store,
-            began,
-            store.refilled_at,
-            -math.inf,
-        )
-        self.reported_tokens = math.inf  # the level as it was told
-        self.open_attempts, self.unasked_demand = (
-            0,
-            0.0,
-        )  # attempts out; units refused on a word since the keeper was asked
-        self.unconfirmed_units = 0.0  # of what it owes, in a message that no answer has come to
-        self.unreported_units, self.granted_share, self.ceiling_tokens = (
-            0.0,
-            1.0,
-            0.0 if plan.ceiling_rate else math.inf,
-        )
-        self.reported_by: int | None = None  # the gateway whose word it was
-        self.gateway_range = 0, 1  # its first door, and how many from it on
-        self.leased_share: LeasedShare | None = None  # the part of the ceiling that it has, where ceilings are lent
-
-    def refill(self, part: float, now: float) -> None:
-        """Fill the store, and of the ceiling what is lent, or this door's own of an even part for all."""
-        p = self.plan
-        self.bucket.refill(p.rate, p.burst, now)
-        if p.ceiling_rate and self.leased_share is not None:
-            full = self.ceiling_tokens + self.leased_share.rate * (now - self.ceiling_refilled_at) / 1000
-            self.ceiling_tokens, self.ceiling_refilled_at = min(full, self.leased_share.burst), now
-            self.leased_share.overflowed_tokens += full - self.ceiling_tokens
-        elif p.ceiling_rate:
-            own, ms = part / self.gateway_count, now - self.ceiling_refilled_at
-            full = refilled_tokens(self.ceiling_tokens, p.ceiling_rate * own, p.ceiling_burst * own, ms)
-            self.ceiling_tokens, self.ceiling_refilled_at = full, now
-
-    def take_question_flags(self, own: bool) -> int:
-        """What a question tells beside its units: whether the keeper is to pay of the ceiling; what was refused."""
-        missed, self.unasked_demand = min(127, int(self.unasked_demand)), 0.0
-        return (not own) + 2 * missed
-
-    def is_low(self, part: float, since: float) -> bool:
-        """Whether the store was told to be below this part of the burst, after ``since``."""
-        return self.reported_tokens < part * self.plan.burst and self.reported_at > since
-
-    def report_usage(self, to: int, again: bool) -> float:
-        """Units that its first keeper is to be told of with a question; none while its answer may be under way."""
-        if to != self.owners[0]:
-            self.unconfirmed_units = 0.0
-        elif self.unconfirmed_units and not again:
-            return 0.0
-        else:
-            self.unconfirmed_units = self.unreported_units
-        return self.unconfirmed_units
-
-    def confirm_usage(self, source: int) -> bool:
-        """Whether this is its first keeper, which has by now what it was told."""
-        if first := source == self.owners[0]:
-            self.unreported_units, self.unconfirmed_units = self.unreported_units - self.unconfirmed_units, 0.0
-        return first
-
-    def apply_report(self, level: float, share: float, now: float, by: int | None = None) -> None:
-        """Note the keeper's word."""
-        self.reported_by = by
-        self.bucket.tokens, self.reported_tokens, self.granted_share = level, level, share
-        self.reported_at = self.bucket.refilled_at = now
-
-
 class Health:
     """How often something failed lately, and how slow it is against the usual."""
 
@@ -267,87 +134,6 @@
     return {a: b for a, b in new.items() if b.entry.state is not i.State.GONE}
 
 
-class PendingRequest:
-    """A request that is owed an answer or has attempts out."""
-
-    def __init__(
-        self, r: i.Request, cls: i.RequestClass, c: Customer, keep: float, aim_at: float, number: int
-    ) -> None:
-        self.request, self.request_class, self.customer, self.reserved_share, self.aim_at, self.number = (
-            r,
-            cls,
-            c,
-            keep,
-            aim_at,
-            number,
-        )
-        self.reservation = list[tuple[int, float]]()  # room drawn, once it is sent
-        self.within_quota = self.answered = False
-        self.own_ceiling_pays = False  # whether its door's own part of the ceiling paid
-        self.owner: int | None = None  # who was asked, and how often so far
-        self.ask_count = 0
-        self.attempts: list[tuple[i.Server, float]] = []
-        self.in_flight: set[int] = set()
-        self.first_executed: tuple[i.Server, float] | None = None  # the first attempt that may have run
-
-    def add_attempt(self, b: ServerRecord, now: float) -> int:
-        """Note an attempt; returns its number."""
-        n = len(self.attempts)
-        self.attempts.append((b.entry, now))
-        self.in_flight.add(n)
-        self.customer.open_attempts += 1
-        b.in_flight[(self.request.id, n)] = now
-        if b.idle_connections:
-            b.idle_connections.pop()
-        return n
-
-    def end_attempt(self, attempt: int) -> None:
-        self.in_flight.discard(attempt)
-        self.customer.open_attempts -= 1
-
-
-class Outbox:
-    """Entries for peers, sent in messages of at most so many, as a token bucket of messages allows."""
-
-    def __init__(self, form: Struct, per_s: float, burst: float, most: int, now: float) -> None:
-        self.entry_format, self.messages_per_ms, self.burst, self.max_entries = form, per_s / 1000, burst, most
-        self.tokens, self.refilled_at = burst, now
-        self.waiting: dict[int, list[tuple]] = {}
-        self.repeats: list[tuple[int, tuple]] = []
-
-    def enqueue(self, to: int, entry: tuple, again: bool = False) -> None:
-        """``again``: once more at the next call of ``repeat``; who hears it twice must take it once."""
-        self.waiting.setdefault(to, []).append(entry)
-        if again:
-            self.repeats.append((to, entry))
-
-    def enqueue_repeats(self) -> None:
-        repeats, self.repeats = self.repeats, []
-        for to, entry in repeats:
-            self.enqueue(to, entry)
-
-    def available_messages(self, now: float) -> float:
-        """Messages that may go at once beside what waits."""
-        return min(self.burst, self.tokens + (now - self.refilled_at) * self.messages_per_ms) - len(self.waiting)
-
-    def flush(self, now: float) -> list[tuple[int, str]]:
-        """What goes out now: each peer's entries together, as far as the tokens last."""
-        self.tokens, self.refilled_at = (
-            min(self.burst, self.tokens + (now - self.refilled_at) * self.messages_per_ms),
-            now,
-        )
-        out = []
-        for to, entries in list(self.waiting.items()):
-            while entries and self.tokens >= 1:
-                self.tokens -= 1
-                text = b85encode(b"".join(self.entry_format.pack(*e) for e in entries[: self.max_entries])).decode()
-                out.append((to, text))
-                del entries[: self.max_entries]
-            if not entries:
-                del self.waiting[to]
-        return out
-
-
 def rendezvous(key: int, among: set[int], count: int) -> list[int]:
     """The few highest by rendezvous hashing."""
     return nsmallest(count, among, key=lambda p: crc32(b"%d %d" % (key, p)))
@@ -358,11 +144,3 @@
     doors = {(first + k) % s.gateways for k in range(min(spread, s.gateways))}
     doors = doors.intersection(s.present_gateways) or doors
     return len(doors), rendezvous(key, doors, count)
-
-
-def unpack_entries(form: Struct, text: str) -> list[tuple]:
-    """The entries of a message; none if the text is not a message of ours."""
-    try:
-        return [e for e in form.iter_unpack(b85decode(text)) if all(map(math.isfinite, e))]
-    except (ValueError, StructError):
-        return []
--- a/tests/test_many_doors.py
+++ b/tests/test_many_doors.py
@@ -9,6 +9,7 @@
 
 from rushweir import interface as i
 from rushweir import state as st
+from rushweir.outbox import unpack_entries
 from rushweir.policy.quota import ADMITTED, ENTRY_FORMAT, SETTLE
 
 SOURCES = {"peers": i.Sharing(peers=True, messages_per_s=60.0), "counter": i.Sharing(counter=True)}
@@ -182,7 +183,7 @@
     for _ in range(200):
         net.run(2.0)
         mail = [e for e in net.events if isinstance(e[2], i.PeerMessage)]
-        ends = [e for e in mail if st.unpack_entries(ENTRY_FORMAT, e[2].text)[0][0] == SETTLE]
+        ends = [e for e in mail if unpack_entries(ENTRY_FORMAT, e[2].text)[0][0] == SETTLE]
         if ends and not lost:
             net.events.remove(ends[0])
             lost += 1
@@ -269,7 +270,7 @@
     # The units of those refused go back to the keeper, in the next messages that the bucket lets out.
     gateway.now += 1000.0
     told = [t.text for t in [*actions, *gateway.do(i.Timer(0))] if isinstance(t, i.Tell)]
-    entries = [e for text in told for e in st.unpack_entries(ENTRY_FORMAT, text)]
+    entries = [e for text in told for e in unpack_entries(ENTRY_FORMAT, text)]
     assert [e[3] for e in entries if e[0] == 1] == [-1.0] * 4
 
 
--- a/tests/test_quota_mail.py
+++ b/tests/test_quota_mail.py
@@ -9,21 +9,23 @@
 
 from rushweir import interface as i
 from rushweir import state as st
+from rushweir.outbox import unpack_entries
 from rushweir.policy.quota import ADMITTED, ASK, ENTRY_FORMAT, MESSAGE_BURST, SETTLE
+from rushweir.token_buckets import TokenBucket
 
 PEERS = i.Sharing(peers=True, messages_per_s=60.0)
 BROAD = i.Plan("broad", rate=40.0, burst=160.0)
 
 
 def entries(net, *kinds: int) -> list[tuple]:
-    return [e for text in net.told for e in st.unpack_entries(ENTRY_FORMAT, text) if e[0] in kinds]
+    return [e for text in net.told for e in unpack_entries(ENTRY_FORMAT, text) if e[0] in kinds]
 
 
 def keeper_of(net, customer: str = "c") -> int:
     return st.rendezvous(crc32(customer.encode()), set(range(len(net.nodes))), 1)[0]
 
 
-def store_of(net, customer: str = "c") -> st.TokenBucket:
+def store_of(net, customer: str = "c") -> TokenBucket:
     return net.nodes[keeper_of(net, customer)].policy.quota.owned_buckets[crc32(customer.encode())]
 
 
@@ -93,7 +95,7 @@
     net.run(1100.0)
     net.ask(door, plan="broad")
     (question,) = [e for e in net.events if isinstance(e[2], i.PeerMessage)]
-    assert st.unpack_entries(ENTRY_FORMAT, question[2].text)[0][0] == SETTLE
+    assert unpack_entries(ENTRY_FORMAT, question[2].text)[0][0] == SETTLE
     net.events.remove(question)
     net.run(300.0)
     assert [e[3] for e in entries(net, SETTLE)] == [9.0, 9.0]
