--- a/rushweir/rollout/storage.py
+++ b/rushweir/rollout/storage.py
@@ -23,12 +23,12 @@
 
 import msgpack
 
-from rushweir.frames import FrameError, Frames
+from rushweir.frames import FrameError, RecordFormat
 from rushweir.rollout.change_sets import MAX_CHANGE_SET_BYTES, ChangeSetError
 from rushweir.rollout.log import LOG_LIMITS, Entry, Snapshot, decode_entry
 
 VERSION = 1
-FRAMES = Frames(b"RWSTEPS" + bytes([VERSION]), 4 * MAX_CHANGE_SET_BYTES)
+FRAMES = RecordFormat(b"RWSTEPS" + bytes([VERSION]), 4 * MAX_CHANGE_SET_BYTES)
 Records = Iterable[list[Any]]
 WRITE_CHUNK_BYTES = 65_536  # bytes of a file that are made at once, and one record more
 
@@ -132,9 +132,9 @@
 def decode_file(data: bytes, me: int, count: int) -> PersistentState:
     """What a file says. Raises StorageError."""
     try:
-        good = FRAMES.good_end(data)
+        good = FRAMES.valid_end(data)
     except FrameError as problem:
-        raise StorageError(f"byte {problem.at}: {problem}") from None
+        raise StorageError(f"byte {problem.offset}: {problem}") from None
     kept, reader, begin = PersistentState(me, count, valid_bytes=good), _Reader(), len(FRAMES.magic)
     for end, payload in FRAMES.payloads(data[:good]):
         try:
