--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -13,11 +13,11 @@
 import pytest
 
 from rushweir.edge.front import QUIET_MS
-from rushweir.edge.service import LAST_S
+from rushweir.edge.service import ACCEPTING_S
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import LINGER_MS
 from tests.edge.conftest import Edge, answer, booking, request
-from tests.edge.live import play
+from tests.edge.live import run_scenario
 
 COMES_MS = 400.0  # after SIGTERM new connections keep coming for so long, by the platform's page
 
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("how", ["nothing", "a byte", "half", "all but a byte"])
 @pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
-def test_only_a_new_connection_on_which_nothing_has_come_ends_with_no_answer(when, how):
+def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
     """From its first byte on a request is waited for, and served."""
     edge, data = Edge(most_clients=3), booking("one")
     conn = edge.connect()
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("quiet", [0.0, 0.5 * QUIET_MS, 0.99 * QUIET_MS])
-def test_a_connection_that_came_just_now_makes_no_room_and_the_newcomer_is_told(quiet):
+def test_recent_connection_is_not_closed_for_a_new_one_which_gets_503(quiet):
     edge = Edge(most_clients=3)
     conns = [edge.connect() for _ in range(3)]
     edge.pass_ms(quiet)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("ms", [0.0, 100.0, 300.0, COMES_MS])
 @pytest.mark.parametrize("quiet", [0.0, LINGER_MS - 1.0])
-def test_whoever_comes_while_the_process_ends_is_answered(ms, quiet):
+def test_new_connections_during_shutdown_are_answered(ms, quiet):
     """New connections come for up to 0.4 s, and one that came then is not closed for its quiet before 0.7 s."""
     edge = Edge()
     edge.core.leave(edge.now, edge.core.setup.settings)
@@ -80,7 +80,7 @@
     conn = edge.connect()
     edge.pass_ms(quiet)
     if ms + quiet >= COMES_MS:
-        edge.pass_ms(LAST_S * 1000 - ms - quiet)
+        edge.pass_ms(ACCEPTING_S * 1000 - ms - quiet)
         edge.core.stop(edge.now)
         edge.turn()
         edge.pass_ms(LINGER_MS - 1.0)
@@ -89,7 +89,7 @@
     assert edge.statuses(conn) == [200] and b"Connection: close" in edge.written(conn)
 
 
-def test_whoever_is_turned_away_too_slow_or_unreadable_gets_an_answer():
+def test_rejected_slow_and_malformed_clients_get_an_answer():
     edge = Edge(most_clients=1)
     edge.sent()  # under way: it does not go
     away = edge.connect()
@@ -106,60 +106,60 @@
     assert [edge.statuses(k) for k in (silent, noise)] == [[408], [400]]
 
 
-def test_what_lay_in_the_listening_queue_a_turn_before_the_end_is_answered():
+def test_listen_queue_is_answered_when_shutdown_begins():
     """As many as one turn of the loop takes in connected and asked while it did something else, and then the end
     begins. The queue of later ones is reset: by the platform nobody comes any more for 0.3 s by then."""
 
-    async def scenario(p):
+    async def scenario(live):
         socks = []
         for k in range(16):
-            sock = socket.create_connection(("127.0.0.1", p.port))  # no await: nobody accepts it
+            sock = socket.create_connection(("127.0.0.1", live.port))  # no await: nobody accepts it
             sock.sendall(request(f"r{k}"))
             sock.setblocking(False)
             socks.append(sock)
-        p.clients += socks
-        assert p.core.counts["accepted"] == 0
+        live.clients += socks
+        assert live.core.counts["accepted"] == 0
         await asyncio.sleep(0)  # the turn in which they are taken in
-        p.core.leave(p.shell.clock(), p.core.setup.settings)
-        p.shell.carry_out()
-        stopping = asyncio.create_task(p.shell.stop(3_000.0))
-        statuses = [(await p.read(sock))[0] for sock in socks]
-        assert len(statuses) == 16 and set(statuses) <= {200, 503} and p.core.counts["accepted"] == 16
+        live.core.leave(live.shell.clock(), live.core.setup.settings)
+        live.shell.carry_out()
+        stopping = asyncio.create_task(live.shell.stop(3_000.0))
+        statuses = [(await live.read(sock))[0] for sock in socks]
+        assert len(statuses) == 16 and set(statuses) <= {200, 503} and live.core.counts["accepted"] == 16
         for sock in socks:
             sock.close()
         assert await stopping is True
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_comes_into_the_listening_queue_after_that_is_reset_and_nothing_of_it_is_sent_on():
-    async def scenario(p):
-        stopping = asyncio.create_task(p.shell.stop(0.0))
+def test_connection_queued_after_accepting_ended_is_reset_and_not_forwarded():
+    async def scenario(live):
+        stopping = asyncio.create_task(live.shell.stop(0.0))
         await asyncio.sleep(0)  # nobody is taken in any more; the socket still listens
-        sock = socket.create_connection(("127.0.0.1", p.port))
+        sock = socket.create_connection(("127.0.0.1", live.port))
         sock.sendall(request("late"))
         await stopping
         sock.settimeout(5)
         with pytest.raises(ConnectionResetError):
             sock.recv(1)
         sock.close()
-        assert not p.heads() and not p.core.counts["accepted"]
+        assert not live.heads() and not live.core.counts["accepted"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_client_taken_in_at_the_very_end_is_answered_or_sees_the_end_and_nothing_of_it_is_sent_on():
+def test_request_after_shutdown_is_discarded_and_not_forwarded():
     """Its request comes after the shutdown: read, thrown away, and never sent on."""
 
-    async def scenario(p):
-        sock = await p.client()
-        client = next(iter(p.core.clients.open.values()))
-        stopping = asyncio.create_task(p.shell.stop(0.0))
-        assert await p.shell.loop.sock_recv(sock, 1) == b""
+    async def scenario(live):
+        sock = await live.client()
+        client = next(iter(live.core.clients.open.values()))
+        stopping = asyncio.create_task(live.shell.stop(0.0))
+        assert await live.shell.loop.sock_recv(sock, 1) == b""
         sock.sendall(request("late"))
-        await p.until(lambda: client.drained)
+        await live.until(lambda: client.drained)
         sock.close()
         assert await stopping is True
-        assert not p.heads() and not p.core.engine.counts["requests"]
+        assert not live.heads() and not live.core.engine.counts["requests"]
 
-    play(scenario)
+    run_scenario(scenario)
