--- a/rushweir/edge/config.py
+++ b/rushweir/edge/config.py
@@ -11,7 +11,7 @@
 
 from rushweir import interface
 from rushweir.discovery.source import host_port
-from rushweir.options import settings
+from rushweir.options import parse_settings
 
 DEFAULT_DIAL_TIMEOUT_MS = 250.0  # to connect to a backend, unless the settings have a value
 DEFAULT_IDLE_MS = 15_000.0  # until a backend closes an idle connection, unless the settings have a value
@@ -74,14 +74,14 @@
     if not isinstance(options, dict):
         raise ConfigError("settings: must be an object")
     try:
-        converted = settings(options)
-        idle_timeout = converted.limits.conn_idle_ms or DEFAULT_IDLE_MS
-        dial_timeout = converted.limits.dial_ms or DEFAULT_DIAL_TIMEOUT_MS
+        converted = parse_settings(options)
+        idle_timeout = converted.limits.connection_idle_ms or DEFAULT_IDLE_MS
+        dial_timeout = converted.limits.dial_timeout_ms or DEFAULT_DIAL_TIMEOUT_MS
     except KeyError as missing:
         raise ConfigError(f"settings: {missing.args[0]!r} is missing or has an unknown value") from None
     except (TypeError, ValueError, AttributeError) as problem:
         raise ConfigError(f"settings: {problem}") from None
-    if not converted.classes or not converted.plans or not 0 <= converted.me < converted.gateways:
+    if not converted.classes or not converted.plans or not 0 <= converted.gateway < converted.gateways:
         raise ConfigError("settings: needs classes, contracts and a number 'me' below 'instances'")
     limits = page.get("limits", {})
     if not isinstance(limits, dict):
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -122,8 +122,8 @@
     from rushweir.edge.backends import PoolSettings
 
     edge = Edge(pool=PoolSettings(2))
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(3, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(3, edge.now)
     for n in range(5):
         edge.receive(edge.connect(), request(f"r{n}"))
     assert len(edge.core.pool.links) == 2 and edge.core.pool.counts["no_connection"] > 0
@@ -178,7 +178,13 @@
         page = {"version": 9 + n, "full": True, "servers": [{**LIST["servers"][0], "id": f"s-{n}"}]}
         edge.receive(edge.core.list.conn, answer(orjson.dumps(page)))
     core = edge.core
-    held = (core.pool.nodes, core.pool.where_listed, core.nodes.held, edge.policy.fleet.servers, core.watch.nodes)
+    held = (
+        core.pool.nodes,
+        core.pool.where_listed,
+        core.nodes.held,
+        edge.policy.server_pool.servers,
+        core.watch.nodes,
+    )
     assert [len(h) for h in held] == [1] * 5
 
 
@@ -264,8 +270,8 @@
 
 def test_connection_after_its_cooldown_serves_a_request_waiting_for_a_dial():
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(1, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(1, edge.now)
     _, backend_conn = edge.send_request(request("one"))
     edge.receive(backend_conn, answer())
     edge.receive(other := edge.connect(), request("two"))
@@ -278,8 +284,8 @@
 def test_connections_cut_together_are_cut_in_a_fixed_order():
     """They lay in a set, whose order is another in each process: equal events have to give equal orders."""
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(1, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(1, edge.now)
     for n in range(12):
         edge.receive(edge.connect(), request(f"r{n}"))
     dials = [o.conn for o in edge.commands if isinstance(o, c.Dial) and o.port == 80]
--- a/tests/edge/test_process.py
+++ b/tests/edge/test_process.py
@@ -279,4 +279,4 @@
     (tmp_path / "config.json").write_bytes(orjson.dumps(page))
     config = load({"EDGE_CONFIG": str(tmp_path / "config.json")})
     assert config.idle_ms == expected_ms and setup(config).pool.idle_ms == expected_ms
-    assert config.settings.limits.conn_idle_ms in (expected_ms, 0.0)
+    assert config.settings.limits.connection_idle_ms in (expected_ms, 0.0)
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -12,8 +12,8 @@
 from rushweir.edge.backends import PoolSettings
 from rushweir.ingress import commands as c
 from rushweir.overload.decisions import BEAT_MS
-from rushweir.policy.room import AIM_PART, START_RATE
-from rushweir.policy.times import MEMORY_MS
+from rushweir.policy.in_flight_capacity import AIM_SHARE, START_UNITS_PER_S
+from rushweir.policy.time_constants import MEMORY_MS
 from tests.edge.conftest import CLASSES, LIST, SETTINGS, Edge, answer, request
 
 ALLOWED_MS = 4_000.0
@@ -132,7 +132,7 @@
 
 
 def test_full_ledger_refuses_requests_until_an_entry_ends():
-    edge = Busy(replace(MADE, limits=replace(MADE.limits, max_open=3)))
+    edge = Busy(replace(MADE, limits=replace(MADE.limits, max_open_requests=3)))
     edge.stuck = {b"stuck"}
     for k in range(3):
         edge.ask(rid=f"stuck{k}")
@@ -142,8 +142,8 @@
 
 def test_busy_backend_connections_refuse_requests_until_one_is_free():
     edge = Busy(MADE, pool=PoolSettings(2))
-    edge.policy.room.finished.add(400.0, edge.now)
-    edge.policy.room.partition(3, edge.now)
+    edge.policy.capacity.finished.add(400.0, edge.now)
+    edge.policy.capacity.partition(3, edge.now)
     edge.stuck = {b"stuck"}
     for k in range(2):
         edge.ask(rid=f"stuck{k}")
@@ -163,13 +163,13 @@
     where thirty ingresses share three servers it is longer than 4 s (14.8 s after nine units): docs/endings.md."""
     classes, sharing = CLASSES[:1], replace(MADE.sharing, largest_request=units)
     edge = Busy(replace(MADE, gateways=gateways, classes=classes, sharing=sharing))
-    room, edge.stuck = edge.policy.room, {b"long"}
+    room, edge.stuck = edge.policy.capacity, {b"long"}
     edge.ask(units=units, rid="long")
     assert len(edge.sent_at) == 0 and edge.core.pool.links  # on its way
     edge.play(out_ms)
     for conn in [k.conn for k in edge.core.pool.links.values() if k.job is not None]:
         edge.receive(conn, answer())
-    least = START_RATE * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_PART
+    least = START_UNITS_PER_S * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_SHARE
     debt = max(0.0, -room.credit)
     assert debt <= MEMORY_MS * room.mean_units
     shut = edge.play(debt / least + 2_000.0)
@@ -181,7 +181,7 @@
 def test_capacity_deficit_is_limited():
     """However many were out for however long: what is owed is forgotten beyond that."""
     edge = Busy(replace(MADE, gateways=30, classes=CLASSES[:1]))
-    room = edge.policy.room
+    room = edge.policy.capacity
     room.credit = -1e9
     edge.play(200.0)
     assert -MEMORY_MS * room.mean_units <= room.credit < 0 and not edge.sent_at
