--- a/rushweir/edge/members.py
+++ b/rushweir/edge/discovery_watch.py
@@ -45,7 +45,7 @@
 STATES = {"Ready": i.State.READY, "Terminating": i.State.DRAINING, "Gone": i.State.GONE}
 
 
-class Members:
+class DiscoveryWatch:
     """One ingress's view of discovery. ``where`` has the endpoints of the backends listed."""
 
     def __init__(
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -6,8 +6,8 @@
 
 from rushweir.edge.backends import Endpoint, Pool, PoolSettings
 from rushweir.edge.config import Address, Config
+from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
-from rushweir.edge.members import Members
 from rushweir.edge.peers import Peers
 from rushweir.ingress import commands as c
 from rushweir.ingress import core as base
@@ -50,7 +50,7 @@
         return Parts(
             front=lambda: ClientConnection(shared),
             pool=Pool(self.pool, where, core.new_conn, core.engine.at),
-            list=Members(self.discovery, self.seed, where, core.new_conn, core.engine.at),
+            list=DiscoveryWatch(self.discovery, self.seed, where, core.new_conn, core.engine.at),
             peers=self._peers(),
             shared=shared,
         )
--- a/tests/edge/owed.py
+++ b/tests/edge/event_orders.py
@@ -1,5 +1,5 @@
 """All orders of what may happen to clients, backends, list and process, on the real ingress without sockets: front,
-core, engine, ledger, module, pool and list. Every step goes through the model of what is owed (owing.py)."""
+core, engine, ledger, module, pool and list. Every step goes through the model of what is owed (request_model.py)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rushweir.edge.backends import PoolSettings
 from rushweir.edge.setup import Setup
 from tests.edge.conftest import CLASSES, SETTINGS, Edge, answer, request
-from tests.edge.owing import Owing
+from tests.edge.request_model import RequestModel
 
 UNSAFE = i.RequestClass("pay", 800.0, 2000.0, 3.0, effect=i.Effect.UNSAFE)
 SHORT = i.RequestClass("hold", 900.0, 2500.0, 2.0, effect=i.Effect.KEYED, window_ms=300.0)
@@ -39,7 +39,7 @@
 
 
 @seed(SEED)
-class Orders(stateful.RuleBasedStateMachine):
+class EventOrders(stateful.RuleBasedStateMachine):
     """All orders of what may happen to clients, backends, list and process."""
 
     def __init__(self):
@@ -47,7 +47,7 @@
         self.states = {k: (f"10.0.0.{k}", 0, "Ready") for k in range(NODES)}
         self.version = 7
         self.edge = Edge(MADE, self.page(range(NODES), True), pool=PoolSettings(8), most_clients=6)
-        self.owing, self.serial = Owing(self.edge), 0
+        self.model, self.serial = RequestModel(self.edge), 0
         self.halves, self.gone, self.stopped = {}, set(), False
         for _ in range(3):
             self.connect()
@@ -64,21 +64,21 @@
     # --- helpers
 
     def do(self, orders):
-        self.owing.see(orders)
+        self.model.see(orders)
 
     def advance_ms(self, ms):
         """Time passes; dials that take too long fail, as the shell would have it."""
         end = self.edge.now + ms
         while self.edge.now < end:
-            late = [k for k in self.waiting_dials() if self.owing.due[k] <= self.edge.now]
+            late = [k for k in self.waiting_dials() if self.model.due[k] <= self.edge.now]
             if late:
                 self.fail(late[0])
                 continue
-            due = min((self.owing.due[k] for k in self.waiting_dials()), default=end)
+            due = min((self.model.due[k] for k in self.waiting_dials()), default=end)
             self.do(self.edge.advance_ms(min(end, due, self.edge.now + 25.0) - self.edge.now))
 
     def fail(self, conn):
-        self.owing.dials.pop(conn)
+        self.model.dials.pop(conn)
         self.edge.core.dial_failed(self.edge.now, conn)
         self.do(self.edge.turn())
 
@@ -94,7 +94,7 @@
     def connect(self):
         if not self.stopped:
             conn = self.edge.core.accepted(self.edge.now)
-            self.owing.by_conn.setdefault(conn, [])
+            self.model.by_conn.setdefault(conn, [])
             self.do(self.edge.turn())
 
     @stateful.precondition(lambda self: self.open_clients())
@@ -121,7 +121,7 @@
             self.halves[conn] = (rid, k, data[20:])
             self.do(self.edge.receive(conn, data[:20]))
         else:
-            self.owing.took(rid, conn, cls, k.effect, k.window_ms)
+            self.model.took(rid, conn, cls, k.effect, k.window_ms)
             self.do(self.edge.receive(conn, data))
 
     @stateful.precondition(lambda self: self.halves)
@@ -132,9 +132,9 @@
         if conn is None:
             return
         rid, k, data = self.halves.pop(conn)
-        if conn in self.owing.told or k.name not in {x.name for x in self.edge.core.setup.settings.classes}:
+        if conn in self.model.told or k.name not in {x.name for x in self.edge.core.setup.settings.classes}:
             return
-        self.owing.took(rid, conn, k.name, k.effect, k.window_ms)
+        self.model.took(rid, conn, k.name, k.effect, k.window_ms)
         self.do(self.edge.receive(conn, data))
 
     @stateful.precondition(lambda self: self.open_clients())
@@ -144,7 +144,7 @@
         if conn is not None:
             self.gone.add(conn)
             self.halves.pop(conn, None)
-            self.owing.went(conn)
+            self.model.went(conn)
             self.edge.core.ended(self.edge.now, conn)
             self.do(self.edge.turn())
 
@@ -156,7 +156,7 @@
         if conn is not None:
             self.gone.add(conn)
             self.halves.pop(conn, None)
-            self.owing.went(conn)
+            self.model.went(conn)
             self.edge.core.engine.present = lambda k: k not in self.gone
 
     @stateful.precondition(lambda self: self.gone)
@@ -169,7 +169,7 @@
     # --- backends
 
     def waiting_dials(self):
-        return [k for k in self.owing.dials if k in self.edge.core.ups and k in self.edge.core.pool.links
+        return [k for k in self.model.dials if k in self.edge.core.ups and k in self.edge.core.pool.links
                 and self.edge.core.pool.links[k].state == "dialing"]  # fmt: skip
 
     @stateful.precondition(lambda self: self.waiting_dials())
@@ -186,16 +186,16 @@
             self.fail(conn)
 
     def answer_on(self, conn, data, ran=True):
-        self.owing.over(conn, ran)
+        self.model.over(conn, ran)
         self.do(self.edge.receive(conn, data))
 
-    @stateful.precondition(lambda self: self.owing.ups)
+    @stateful.precondition(lambda self: self.model.ups)
     @stateful.rule(n=st.integers(0, 9), kind=st.sampled_from(["good", "twice", "declined", "error"]))
     def whole_answer(self, n, kind):
-        conn = self.pick(list(self.owing.ups), n)
+        conn = self.pick(list(self.model.ups), n)
         if conn is None:
             return
-        good = answer(f"for {self.owing.ups[conn]}".encode())
+        good = answer(f"for {self.model.ups[conn]}".encode())
         if kind == "declined":
             self.answer_on(conn, answer(b"", "503 No", "Srv-Declined: 1\r\n"), ran=False)
         elif kind == "error":
@@ -206,23 +206,23 @@
                 # Some milliseconds late, when the connection may carry somebody else's request.
                 self.advance_ms(5.0)
                 self.ask(n, "position", "wide", False)
-                self.owing.over(conn, True)
+                self.model.over(conn, True)
                 if conn not in self.edge.closed and conn in self.edge.core.ups:
                     self.do(self.edge.receive(conn, good))
 
-    @stateful.precondition(lambda self: self.owing.ups)
+    @stateful.precondition(lambda self: self.model.ups)
     @stateful.rule(n=st.integers(0, 9), kind=st.sampled_from(["half", "noise", "no length"]))
     def broken_answer(self, n, kind):
-        conn = self.pick(list(self.owing.ups), n)
+        conn = self.pick(list(self.model.ups), n)
         if conn is None:
             return
-        good = answer(f"for {self.owing.ups[conn]}".encode())
+        good = answer(f"for {self.model.ups[conn]}".encode())
         data = {"half": good[: len(good) // 2], "noise": b"\x00\x01\r\n", "no length": b"HTTP/1.1 200 OK\r\n\r\nfor"}
         self.do(self.edge.receive(conn, data[kind]))
         if conn in self.edge.core.ups and conn not in self.edge.closed:
             self.reset_up(conn)
 
-    @stateful.precondition(lambda self: self.owing.ups)
+    @stateful.precondition(lambda self: self.model.ups)
     @stateful.rule(n=st.integers(0, 9))
     def reset(self, n):
         conn = self.pick([k for k in self.edge.core.pool.links if k in self.edge.core.ups], n)
@@ -230,18 +230,18 @@
             self.reset_up(conn)
 
     def reset_up(self, conn):
-        self.owing.cut(conn)
+        self.model.cut(conn)
         self.edge.core.ended(self.edge.now, conn)
         self.do(self.edge.turn())
 
-    @stateful.precondition(lambda self: self.owing.ups)
+    @stateful.precondition(lambda self: self.model.ups)
     @stateful.rule(n=st.integers(0, 9), first=st.sampled_from(["answer", "reset", "time"]))
     def all_in_one_turn(self, n, first):
         """A time-out, an answer and a reset of one attempt in one turn, in any order."""
-        conn = self.pick(list(self.owing.ups), n)
+        conn = self.pick(list(self.model.ups), n)
         if conn is None:
             return
-        rid = self.owing.ups[conn]
+        rid = self.model.ups[conn]
         entry = next((e for e in self.edge.core.engine.ledger.entries.values() if e.ref == rid.encode()), None)
         steps = {
             "answer": lambda: self.answer_on(conn, answer(f"for {rid}".encode())),
@@ -275,7 +275,7 @@
         elif then == "left unseen":
             self.leave_unseen(n)
         else:
-            host = self.owing.dials[dial][0]
+            host = self.model.dials[dial][0]
             k = next((k for k, (h, _, _) in self.states.items() if h == host), None)
             if k is not None and self.edge.core.list.state != "away":
                 self.list_tells(k, then)
@@ -291,9 +291,9 @@
         self.ask(n, cls, "wide", False)
         for _ in range(3):
             self.dial_up(0)
-        ups = list(self.owing.ups)
+        ups = list(self.model.ups)
         self.advance_ms(after)
-        if ups and ups[-1] in self.owing.ups and ups[-1] in self.edge.core.ups:
+        if ups and ups[-1] in self.model.ups and ups[-1] in self.edge.core.ups:
             self.reset_up(ups[-1])
             self.dial_up(0)
 
@@ -317,15 +317,15 @@
         """A connection that was just answered on, a new request, and a second copy of the answer."""
         self.ask(n, "position", "wide", False)
         self.dial_up(0)
-        conn = self.pick(list(self.owing.ups), -1)
+        conn = self.pick(list(self.model.ups), -1)
         if conn is None or conn not in self.edge.core.ups:
             return
-        good = answer(f"for {self.owing.ups[conn]}".encode())
+        good = answer(f"for {self.model.ups[conn]}".encode())
         self.answer_on(conn, good)
         for k in range(3):
             self.ask(n + k, "position", "wide", False)
         if conn not in self.edge.closed and conn in self.edge.core.ups:
-            self.owing.over(conn, True)
+            self.model.over(conn, True)
             self.do(self.edge.receive(conn, good))
 
     # --- list and process
@@ -347,7 +347,7 @@
         if self.edge.core.list.state == "away":
             return
         host, started, state = self.states[k]
-        shut, starts = self.owing.shut, self.owing.starts
+        shut, starts = self.model.shut, self.model.starts
         if how == "anew":
             starts[host] = starts.get(host, 0) + (started != int(self.edge.now))
             started = int(self.edge.now)
@@ -378,7 +378,7 @@
     @stateful.precondition(lambda self: not self.stopped)
     @stateful.rule()
     def stop(self):
-        if len(self.owing.asked) > 3:  # not before there is something to end
+        if len(self.model.asked) > 3:  # not before there is something to end
             self.stopped = True
             self.edge.core.leave(self.edge.now, self.edge.core.setup.settings)
             self.do(self.edge.turn())
@@ -397,8 +397,8 @@
         self.advance_ms(DONE_MS)
         self.fail_dials()
         for conn in list(self.edge.core.clients.open):
-            self.owing.went(conn)
+            self.model.went(conn)
             self.edge.core.ended(self.edge.now, conn)
             self.do(self.edge.turn())
         self.advance_ms(DONE_MS)
-        self.owing.settle()
+        self.model.settle()
--- a/tests/edge/owing.py
+++ b/tests/edge/request_model.py
@@ -34,7 +34,7 @@
         data = rest[length:]
 
 
-class Owing:
+class RequestModel:
     """The model. ``see`` takes the orders of one step, in their order."""
 
     def __init__(self, edge):
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_discovery_watch.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from rushweir.edge.members import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, TRY_MS, WAIT_MS, WORST_MS
+from rushweir.edge.discovery_watch import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, TRY_MS, WAIT_MS, WORST_MS
 from rushweir.edge.peers import Peers
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_event_orders.py
@@ -17,7 +17,7 @@
 from rushweir.policy.gateway_policy import Policy
 from rushweir.policy.quota import Quota
 from rushweir.state import Partitions
-from tests.edge.owed import Orders
+from tests.edge.event_orders import EventOrders
 
 QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
 SURE = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True, database=None,
@@ -26,7 +26,7 @@
 
 
 def test_every_request_is_answered_under_any_order_of_events():
-    run_state_machine_as_test(Orders, settings=SURE)
+    run_state_machine_as_test(EventOrders, settings=SURE)
 
 
 def two_attempts(monkeypatch):
@@ -144,7 +144,7 @@
 def test_injected_fault_is_detected(monkeypatch, plant):
     plant(monkeypatch)
     with pytest.raises(AssertionError) as found:
-        run_state_machine_as_test(Orders, settings=HUNT)
+        run_state_machine_as_test(EventOrders, settings=HUNT)
     # A course that ends in the midst of a step leaves things held, and says that last: what ended it stands behind.
     chain, e = [], found.value
     while e is not None:
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -8,9 +8,9 @@
 
 from rushweir import interface as i
 from rushweir.discovery.source import Update
+from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
 from rushweir.edge.http import MAX_BODY_BYTES, MAX_FRAMING_BYTES, AnswerReader, Malformed
-from rushweir.edge.members import Members
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, SETTINGS, answer, booking, request
 
@@ -194,13 +194,13 @@
 def test_each_form_of_a_list_parses_like_the_plain_one_at_any_split(name, body):
     data, got = forms(body)[name], []
     for cut in range(len(data) + 1):
-        members = Members(("10.9.0.1", 8500), 1, {}, lambda _: 1, lambda *_: None)
-        members.start(0.0)
-        members.dialed(1.0, 1)
-        members.received(2.0, 1, data[:cut])
-        members.received(3.0, 1, data[cut:])
-        assert [type(u) for u in members.updates] == [Update] and not members.remarks, cut
-        got.append((members.updates[0], tuple(members.servers.values())))
+        watch = DiscoveryWatch(("10.9.0.1", 8500), 1, {}, lambda _: 1, lambda *_: None)
+        watch.start(0.0)
+        watch.dialed(1.0, 1)
+        watch.received(2.0, 1, data[:cut])
+        watch.received(3.0, 1, data[cut:])
+        assert [type(u) for u in watch.updates] == [Update] and not watch.remarks, cut
+        got.append((watch.updates[0], tuple(watch.servers.values())))
     assert {u.scope for u, _ in got} == {i.Scope.FULL} and {u.version for u, _ in got} == {7}
     assert all([s.address for s in servers] == ["s-1", "s-2", "s-3"] for _, servers in got)
 
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -9,10 +9,10 @@
 import pytest
 
 from rushweir.edge.backends import REST_MS
-from rushweir.edge.members import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, WAIT_MS, WORST_MS
+from rushweir.edge.discovery_watch import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, WAIT_MS, WORST_MS
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer, booking, request
-from tests.edge.test_members import TROUBLES, Agent, connect_discovery, page, states
+from tests.edge.test_discovery_watch import TROUBLES, Agent, connect_discovery, page, states
 
 RELOAD_MS = 4_000.0  # after SIGHUP a change counts as told, by the platform's page
 LAST_MS = 700.0  # after SIGTERM: nobody new any more
