--- a/rushweir/edge/discovery_watch.py
+++ b/rushweir/edge/discovery_watch.py
@@ -25,7 +25,7 @@
 
 from rushweir import interface as i
 from rushweir.discovery.source import MOST_SERVERS, MOST_TEXT, Update, UpdateError, described, host_port, text
-from rushweir.edge.backends import Endpoint
+from rushweir.edge.backend_links import Endpoint
 from rushweir.edge.http import AnswerReader, Malformed
 from rushweir.ingress import commands as c
 
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from rushweir.edge.backends import Endpoint, Pool, PoolSettings
+from rushweir.edge.backend_links import Endpoint, PoolSettings
+from rushweir.edge.backends import Pool
 from rushweir.edge.config import Address, Config
 from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -7,7 +7,8 @@
 import pytest
 
 from rushweir import interface as i
-from rushweir.edge.backends import REST_MS, PoolSettings
+from rushweir.edge.backend_links import PoolSettings
+from rushweir.edge.backends import REST_MS
 from rushweir.edge.setup import IDLE_MS, Setup
 from rushweir.ingress import commands as c
 from rushweir.ingress.core import Core
--- a/tests/edge/event_orders.py
+++ b/tests/edge/event_orders.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from rushweir import interface as i
-from rushweir.edge.backends import PoolSettings
+from rushweir.edge.backend_links import PoolSettings
 from rushweir.edge.setup import Setup
 from tests.edge.conftest import CLASSES, SETTINGS, Edge, answer, request
 from tests.edge.request_model import RequestModel
--- a/tests/edge/live.py
+++ b/tests/edge/live.py
@@ -8,7 +8,7 @@
 import re
 import socket
 
-from rushweir.edge.backends import PoolSettings
+from rushweir.edge.backend_links import PoolSettings
 from rushweir.edge.setup import IDLE_MS, Setup
 from rushweir.ingress.core import Core
 from rushweir.ingress.shell import Clock, Shell
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -119,7 +119,7 @@
 
 
 def test_connections_are_limited_across_all_backends():
-    from rushweir.edge.backends import PoolSettings
+    from rushweir.edge.backend_links import PoolSettings
 
     edge = Edge(pool=PoolSettings(2))
     edge.policy.capacity.finished.add(400.0, edge.now)
--- a/tests/edge/test_event_orders.py
+++ b/tests/edge/test_event_orders.py
@@ -10,7 +10,8 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from rushweir import interface as i
-from rushweir.edge.backends import Endpoint, Link, Pool
+from rushweir.edge.backend_links import Endpoint, Link
+from rushweir.edge.backends import Pool
 from rushweir.edge.front import ClientConnection
 from rushweir.ingress.clients import Clients
 from rushweir.ingress.engine import Engine
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rushweir import interface as i
-from rushweir.edge.backends import PoolSettings
+from rushweir.edge.backend_links import PoolSettings
 from rushweir.ingress import commands as c
 from rushweir.overload.decisions import BEAT_MS
 from rushweir.policy.in_flight_capacity import AIM_SHARE, START_UNITS_PER_S
