--- a/benchmarks/heaviest.py
+++ b/benchmarks/heaviest.py
@@ -17,7 +17,7 @@
 from heapq import nlargest
 from itertools import accumulate
 
-from rushweir.watch.heaviest import Heaviest
+from rushweir.watch.top_users import TopUsers
 
 
 class Plain:
@@ -41,7 +41,7 @@
         stream = [f"p{bisect(shares, rng.random() * shares[-1])}" for _ in range(300_000)]
         true = Counter(stream)
         print(f"{partners} partners, {len(stream)} requests, {len(true)} seen")
-        for name, made in (("dictionary", Plain()), ("sketch", Heaviest(1024))):
+        for name, made in (("dictionary", Plain()), ("sketch", TopUsers(1024))):
             plain = isinstance(made, Plain)
             began = time.perf_counter()
             if plain:
@@ -55,7 +55,7 @@
             top = made.top(20)
             asked = (time.perf_counter() - began) * 1000
             tracemalloc.start()
-            again = Plain() if plain else Heaviest(1024)
+            again = Plain() if plain else TopUsers(1024)
             for k, partner in enumerate(stream):
                 again.add(partner, float(k)) if plain else again.add(partner)
             memory, _ = tracemalloc.get_traced_memory()
--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -30,8 +30,8 @@
 from rushweir.config.reading import MOST_NAME, NAMED, Reading, Spots
 from rushweir.config.show import as_rows, differ
 from rushweir.config.text import Problem, Spot
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.core import Core
+from rushweir.ingress.queries import Partner
 from rushweir.ingress.websocket import Setup
 from rushweir.rollout.ceilings import ANYBODY, NOBODY, Between, Doors, SlotError, acting
 from rushweir.rollout.steps import Change, Key
@@ -333,7 +333,7 @@
     known, new = prepared.beside, prepared.config
     if new.ways != known.ways:
         partners.held.acting = _partners(new)
-    usage = core.watch.usage
+    usage = core.telemetry.usage
     usage.change(prepared.plans, mine.gone)
     usage.source = partners.held  # as it is by now
     if prepared.setup is not None:
--- a/rushweir/daemon/consoles.py
+++ b/rushweir/daemon/consoles.py
@@ -65,7 +65,7 @@
                 service.log.event("error", "console_not_started", why=str(problem))
             if loop.time() - began > 60:
                 pause = PAUSES_S[0]
-            service.core.tell(service.clock(), "warning", "console_ended", again_in_s=pause)
+            service.core.log(service.clock(), "warning", "console_ended", again_in_s=pause)
             service.shell.carry_out()
             await asyncio.sleep(pause)
             pause = min(PAUSES_S[1], pause * 2)
--- a/rushweir/daemon/metrics.py
+++ b/rushweir/daemon/metrics.py
@@ -11,7 +11,7 @@
 from prometheus_client.metrics_core import Metric
 
 from rushweir.ingress.core import Core
-from rushweir.watch.watch import BUCKETS_MS
+from rushweir.watch.telemetry import BUCKETS_MS
 
 
 class CoreCollector:
@@ -22,12 +22,12 @@
 
     def collect(self) -> Iterator[Metric]:
         core = self.core
-        figures = core.figures()
+        figures = core.counts_by_component()
         answers = CounterMetricFamily("rushweir_answers", "Requests by class and end.", labels=["class", "kind"])
         times = HistogramMetricFamily(
             "rushweir_served_seconds", "From taking a request to its good answer.", labels=["class"]
         )
-        for name, counts in core.watch.classes.items():
+        for name, counts in core.telemetry.classes.items():
             for kind, n in counts.kinds.items():
                 answers.add_metric([name, kind], n)
             whole, buckets = 0, []
@@ -54,7 +54,7 @@
         yield parts
         nodes = GaugeMetricFamily("rushweir_nodes", "Nodes by zone and state.", labels=["zone", "state"])
         found: dict[tuple[str, str], int] = {}
-        for s in core.nodes.held.values():
+        for s in core.nodes.effective.values():
             found[s.zone, s.state.value] = found.get((s.zone, s.state.value), 0) + 1
         for where, n in found.items():
             nodes.add_metric(where, n)
@@ -64,8 +64,8 @@
             ("requests_open", "Requests that are owed an answer.", figures["owed"]),
             ("node_links", "Connections to nodes.", figures["links"]),
             ("timers", "Timers that are set.", figures["timers"]),
-            ("loop_delay_seconds", "How late this process's turns come.", core.overload.delay_ms / 1000),
-            ("overload_level", "0: nothing is shed; 1: connections; 2: requests.", core.overload.level),
+            ("loop_delay_seconds", "How late this process's turns come.", core.load_shedder.delay_ms / 1000),
+            ("overload_level", "0: nothing is shed; 1: connections; 2: requests.", core.load_shedder.level),
         ):
             yield GaugeMetricFamily(f"rushweir_{name}", text, value=value)
         yield CounterMetricFamily("rushweir_policy_faults", "Faults of the decisions.", value=figures["faults"])
--- a/rushweir/daemon/operations.py
+++ b/rushweir/daemon/operations.py
@@ -54,11 +54,12 @@
         """How the ingress stands, in short."""
         core, now = self.core, self.clock()
         code, page = core.health()
-        age = None if core.nodes.listed_at is None else round(now - core.nodes.listed_at)
+        age = None if core.nodes.updated_at is None else round(now - core.nodes.updated_at)
         return {
             **self.facts, **page, "serving": code == 200, "now_ms": now, "list_age_ms": age,
-            "nodes": len(core.nodes.held), "by_hand": sorted(core.nodes.by_hand), "overload": core.overload.level,
-            "loop_delay_ms": round(core.overload.delay_ms, 1), "reloaded_ms": self.reloaded_at,
+            "nodes": len(core.nodes.effective), "by_hand": sorted(core.nodes.drained_by_hand),
+            "overload": core.load_shedder.level, "loop_delay_ms": round(core.load_shedder.delay_ms, 1),
+            "reloaded_ms": self.reloaded_at,
             "answers": {k: core.engine.counts[k] for k in ("served", "refused", "failed", "left")},
             "faults": core.engine.faults, "attempts_out": len(core.pool.where),
             **({"fleet": core.fleet.seen()} if core.fleet is not None else {}),
@@ -75,7 +76,7 @@
     def classes(self) -> list[dict[str, Any]]:
         return [
             {"name": name, "aim_ms": c.aim_ms, **c.kinds, "mean_ms": round(c.sum_ms / max(1, c.kinds["served"]), 1)}
-            for name, c in self.core.watch.classes.items()
+            for name, c in self.core.telemetry.classes.items()
         ]
 
     # --- nodes -----------------------------------------------------------------------------------
@@ -83,23 +84,23 @@
     def _nodes(self) -> list[dict[str, Any]]:
         """A row for each node. Of 500 they take some milliseconds, so what was made a moment ago is used again."""
         now = self.clock()
-        if self.made is None or now - self.made[0] > MADE_MS or self.made[1] is not self.core.nodes.held:
-            self.made = now, self.core.nodes.held, list(self._make_nodes(now))
+        if self.made is None or now - self.made[0] > MADE_MS or self.made[1] is not self.core.nodes.effective:
+            self.made = now, self.core.nodes.effective, list(self._make_nodes(now))
         return self.made[2]
 
     def _make_nodes(self, now: float) -> Iterator[dict[str, Any]]:
         core = self.core
         fleet = getattr(core.engine.policy, "fleet", None)
         bar = fleet.bar(0.4, now) if fleet is not None else 1.0
-        for address, s in core.nodes.held.items():
+        for address, s in core.nodes.effective.items():
             b = fleet.servers.get(address) if fleet is not None else None
-            seen = core.watch.nodes[address]
+            seen = core.telemetry.nodes[address]
             why = ""
             if b is not None and b.fails(bar, now):
                 why = next((g for h, g in zip(b.health, GROUNDS, strict=False) if h.fail(now) >= bar), "")
             yield {
                 "address": address, "zone": s.zone, "cell": s.cell, "kind": s.kind, "weight": s.weight,
-                "state": s.state.value, "by_hand": address in core.nodes.by_hand,
+                "state": s.state.value, "by_hand": address in core.nodes.drained_by_hand,
                 "warmth": round(fleet.warmth(b, now), 3) if b is not None else None,
                 "out": len(b.out) if b is not None else 0,
                 "slowness": round(b.slow, 2) if b is not None else None,
@@ -150,21 +151,21 @@
         return self._by_hand(address, False)
 
     def _by_hand(self, address: str, on: bool) -> dict[str, Any]:
-        if not self.core.drain(self.clock(), _text("address", address), on):
+        if not self.core.drain_node(self.clock(), _text("address", address), on):
             raise OperatorError(f"no node {address[:80]} in the list")
-        return {"address": address, "state": self.core.nodes.held[address].state.value, "by_hand": on}
+        return {"address": address, "state": self.core.nodes.effective[address].state.value, "by_hand": on}
 
     # --- partners --------------------------------------------------------------------------------
 
     def partners(self, search: str = "", first: int = 0, count: int = 50) -> dict[str, Any]:
         """Partners whose name holds a text, a page of them, with what they used and what is left."""
         first, count = _whole("first", first, 0, 10**9), _whole("count", count, 1, MOST_PAGE)
-        total, rows = self.core.watch.usage.page(_text("search", search), first, count)
+        total, rows = self.core.telemetry.usage.page(_text("search", search), first, count)
         return {"total": total, "first": first, "rows": [self._quota(r) for r in rows]}
 
     def heaviest(self, count: int = 10) -> list[dict[str, Any]]:
         """Who asked most in the last minutes, by the sketch."""
-        return [self._quota(r) for r in self.core.watch.usage.lately(_whole("count", count, 1, MOST_PAGE))]
+        return [self._quota(r) for r in self.core.telemetry.usage.lately(_whole("count", count, 1, MOST_PAGE))]
 
     def _quota(self, row: dict[str, Any]) -> dict[str, Any]:
         """What is left of a partner's quota as this ingress knows it; nothing of one that was idle."""
@@ -185,9 +186,9 @@
 
     def refusals(self) -> dict[str, Any]:
         """Refusals by reason, since the start and in the last ten minutes."""
-        self.core.watch.history.turn(self.clock())
+        self.core.telemetry.history.turn(self.clock())
         lately: dict[str, int] = {}
-        for slot in list(self.core.watch.history.slots)[-60:]:
+        for slot in list(self.core.telemetry.history.slots)[-60:]:
             for why, n in slot["reasons"].items():
                 lately[why] = lately.get(why, 0) + n
         whole = self.core.engine.refusals
@@ -195,13 +196,13 @@
 
     def history(self) -> list[dict[str, Any]]:
         """The last hour in slots of ten seconds, oldest first."""
-        self.core.watch.history.turn(self.clock())
-        return list(self.core.watch.history.slots)
+        self.core.telemetry.history.turn(self.clock())
+        return list(self.core.telemetry.history.slots)
 
     def events(self, count: int = 100, after: int = 0, search: str = "") -> list[dict[str, Any]]:
         """Events, newest first: those with a number above ``after`` and with a text in cause or fields."""
         wanted, out = _text("search", search).casefold(), []
-        for e in reversed(self.core.watch.events):
+        for e in reversed(self.core.telemetry.events):
             if e["number"] <= after or len(out) >= _whole("count", count, 1, MOST_PAGE):
                 break
             if wanted in f"{e['cause']} {e['fields']}".casefold():
@@ -210,14 +211,16 @@
 
     def request(self, id: str) -> dict[str, Any]:
         """The course of one request, if it is kept."""
-        course = self.core.watch.courses.find(_text("id", id))
+        course = self.core.telemetry.traces.find(_text("id", id))
         if course is None:
             raise OperatorError(f"no course of {id[:80]} is kept: of what went well only a sample is")
         return course.as_row()
 
     def requests(self, count: int = 50, wrong: bool = True) -> list[dict[str, Any]]:
         """Courses that are kept, newest first: of those that went wrong, or of the sample."""
-        return [c.as_row() for c in self.core.watch.courses.last(_whole("count", count, 1, MOST_PAGE), bool(wrong))]
+        return [
+            c.as_row() for c in self.core.telemetry.traces.last(_whole("count", count, 1, MOST_PAGE), bool(wrong))
+        ]
 
     def peers(self) -> list[dict[str, Any]]:
         """The other ingresses, and when each was heard last. They speak when a quota wants it."""
--- a/rushweir/daemon/reloading.py
+++ b/rushweir/daemon/reloading.py
@@ -51,7 +51,7 @@
                 return prepared.changes
             except ConfigError as problem:
                 first = str(problem).splitlines()[0]
-                s.core.tell(s.clock(), "error", "reload_refused", problems=len(problem.problems), first=first)
+                s.core.log(s.clock(), "error", "reload_refused", problems=len(problem.problems), first=first)
                 raise
             finally:
                 s.shell.carry_out()
--- a/rushweir/daemon/service.py
+++ b/rushweir/daemon/service.py
@@ -80,13 +80,13 @@
         config, now = self.config, self.clock()
         setup = self._setup(config)
         self.core = Core(setup, Policy(setup.settings, self.seed, now), now)
-        self.core.watch.traced = Tracing().course
+        self.core.telemetry.on_trace = Tracing().course
         self.ops = Operations(self.core, self.clock, config, self.facts)
         if self.rollouts is not None:
             self.rollouts.attach(self)
         peers = dict(config.file.peers.peer) if config.file.peers else {}
         self.shell = Shell(
-            self.core, self.clock, peers=peers, folder=config.state, end=self._must_end, remark=self.log.remark
+            self.core, self.clock, peers=peers, folder=config.state, end=self._must_end, log=self.log.emit
         )
 
     def _setup(self, config: Config) -> Any:
@@ -177,12 +177,12 @@
     async def _end(self) -> int:
         notify("STOPPING=1")
         within = self.config.file.stop
-        self.core.tell(self.clock(), "info", "stopping", open=self.core.engine.ledger.owed, successor=self.leave)
+        self.core.log(self.clock(), "info", "stopping", open=self.core.engine.ledger.unanswered, successor=self.leave)
         self.shell.carry_out()
         if self.control is not None:
             self.control.close()
         if self.leave:
-            ending = asyncio.create_task(self.shell.leave(leaving(self.core.setup.settings), within))
+            ending = asyncio.create_task(self.shell.drain_and_stop(leaving(self.core.setup.settings), within))
         else:
             ending = asyncio.create_task(self.shell.stop(within))
         while not ending.done():
@@ -201,7 +201,7 @@
         self._drop_control_file()
         for task in list(self.control_tasks):
             task.cancel()
-        self.log.event("info", "stopped", answered=answered, **self.core.figures()["engine"])
+        self.log.event("info", "stopped", answered=answered, **self.core.counts_by_component()["engine"])
         if self.lock is not None:
             self.lock.close()
         return 0 if answered and not self.failed else 1
@@ -228,7 +228,7 @@
         self.log.adopt(*log_settings(new))
         if changes is not None:
             self.ops.reloaded_at = self.clock()
-            self.core.tell(self.clock(), "info", "reloaded", changes=len(changes))
+            self.core.log(self.clock(), "info", "reloaded", changes=len(changes))
 
     async def _reload_by_signal(self) -> None:
         with contextlib.suppress(ConfigError):  # the log has it
@@ -283,7 +283,7 @@
                         handed = True
                     elif call.method == "handover.done" and handed:
                         handed = False
-                        writer.write(rpc.result(call.id, {"open": self.core.engine.ledger.owed}) + b"\n")
+                        writer.write(rpc.result(call.id, {"open": self.core.engine.ledger.unanswered}) + b"\n")
                         self.leave = True
                         self.ending.set()
                     else:
@@ -295,7 +295,7 @@
             pass
         finally:
             if handed:
-                self.core.tell(self.clock(), "warning", "handover_abandoned")
+                self.core.log(self.clock(), "warning", "handover_abandoned")
                 self.shell.carry_out()
             writer.close()
 
@@ -307,7 +307,7 @@
                 return rpc.error(call.id, rpc.FAILED, "the settings are not taken", {"problems": str(problem)})
         if call.method == "stop":
             self.stop()
-            return rpc.result(call.id, {"open": self.core.engine.ledger.owed})
+            return rpc.result(call.id, {"open": self.core.engine.ledger.unanswered})
         if call.method == "metrics":
             from rushweir.daemon.metrics import exposition
 
@@ -333,7 +333,7 @@
         }  # fmt: skip
         with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as sock:
             socket.send_fds(sock, [rpc.result(call.id, facts) + b"\n"], list(sockets.values()))
-        self.core.tell(self.clock(), "info", "handover_begun")
+        self.core.log(self.clock(), "info", "handover_begun")
 
 
 def log_settings(config: Config) -> tuple[Limiter, str, str]:
--- a/rushweir/daemon/traces.py
+++ b/rushweir/daemon/traces.py
@@ -1,8 +1,8 @@
 """Courses as traces on OpenTelemetry's API: a span for the request, one for each attempt, with their own times.
 
-Which courses are kept was decided before (watch/courses.py), at the end of the request, so that a failure is never
-missing; spans are made of those only. Without an SDK in the process the API's spans are no-ops, and cost nothing
-on the way of a request in any case.
+Which courses are kept was decided before (watch/request_traces.py), at the end of the request, so that a failure is
+never missing; spans are made of those only. Without an SDK in the process the API's spans are no-ops, and cost
+nothing on the way of a request in any case.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from opentelemetry.trace import SpanKind, StatusCode
 
 from rushweir.ingress.commands import AnswerKind
-from rushweir.watch.courses import Course
-from rushweir.watch.watch import GOOD
+from rushweir.watch.request_traces import RequestTrace
+from rushweir.watch.telemetry import GOOD
 
 
 class Tracing:
@@ -21,11 +21,12 @@
     def __init__(self, tracer: trace.Tracer | None = None) -> None:
         self.tracer = tracer or trace.get_tracer("rushweir")
 
-    def course(self, course: Course) -> None:
+    def course(self, course: RequestTrace) -> None:
         span = self.tracer.start_span(
             "request", kind=SpanKind.SERVER, start_time=_ns(course.taken_ms),
             attributes={
-                "rushweir.request": course.rid, "rushweir.class": course.cls, "rushweir.partner": course.partner,
+                "rushweir.request": course.request_id, "rushweir.class": course.cls,
+                "rushweir.partner": course.partner,
                 "rushweir.connection": course.conn, "rushweir.answer": course.kind, "rushweir.why": course.why,
             },
         )  # fmt: skip
--- a/rushweir/discovery/pushed.py
+++ b/rushweir/discovery/pushed.py
@@ -49,7 +49,7 @@
         self.version = -1  # of the list held; -1: nothing held from this service
         self.fetched_at = -FETCH_MS
         self.updates: list[Update] = []
-        self.remarks: list[c.LogEvent] = []
+        self.log_events: list[c.LogEvent] = []
         self.counts: Counter[str] = Counter()
 
     def watch(self, now: float, on: bool) -> None:
@@ -79,7 +79,7 @@
     def bad_message(self, why: str) -> None:
         """Nothing of a bad update is taken; the whole list is asked for, however many come, once a while."""
         self.counts["bad_updates"] += 1
-        self.remarks.append(c.LogEvent("warning", "list_update_refused", {"why": why[:300]}))
+        self.log_events.append(c.LogEvent("warning", "list_update_refused", {"why": why[:300]}))
         if self.link.state is OPEN and self.link.now - self.fetched_at >= FETCH_MS:
             self.fetched_at = self.link.now
             self.link.call("list.fetch", {})
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -18,8 +18,8 @@
 from rushweir import interface as i
 from rushweir.edge.http import MOST_QUEUED, TOO_MANY, Malformed, Message, RequestReader
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
-from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.commands import Answer, AnswerKind
+from rushweir.ingress.queries import Partner, Query
 
 READY = b"/_health"
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -111,7 +111,7 @@
     def spare(self, quiet_ms: float) -> bool:
         return not self.engaged and quiet_ms > QUIET_MS
 
-    def receive(self, data: bytes) -> list[tuple[bytes, Ask]]:
+    def receive(self, data: bytes) -> list[tuple[bytes, Query]]:
         """Take in bytes; returns the request that is under way from now on, if there is a new one."""
         if self.end:
             return []
@@ -134,7 +134,7 @@
                 self._write(problem.status, str(problem).encode())
                 continue
             if ask is not None:
-                ask.since_ms = came
+                ask.arrived_ms = came
                 self.current = message.headers[b"req-id"]
                 self.shared.open.add(self.current)
                 return [(self.current, ask)]
@@ -159,7 +159,7 @@
 
     # --- requests --------------------------------------------------------------------------------
 
-    def _ask(self, m: Message) -> Ask | None:
+    def _ask(self, m: Message) -> Query | None:
         """The request in a message, checked field by field. Raises BadRequest; None: it is answered already."""
         h, shared = m.headers, self.shared
         path, _, query = m.target.partition(b"?")
@@ -202,7 +202,7 @@
         if m.method == b"POST":
             lines.append(b"Content-Length: %d" % len(m.body))
         payload = Payload(b"\r\n".join(lines) + b"\r\n", m.body)
-        return Ask(cls.name, payload, float(within), units, Partner(customer, plan, spread, first))
+        return Query(cls.name, payload, float(within), units, Partner(customer, plan, spread, first))
 
     def _metering(self, text: bytes) -> tuple[float, int, int]:
         fields: dict[bytes, int] = {}
--- a/rushweir/edge/members.py
+++ b/rushweir/edge/members.py
@@ -63,7 +63,7 @@
         self.reader = AnswerReader(MOST_LIST)
         self.out: list[c.ShellCommand] = []
         self.updates: list[Update] = []
-        self.remarks: list[c.LogEvent] = []
+        self.log_events: list[c.LogEvent] = []
         self.counts: Counter[str] = Counter()
 
     def known(self, page: Any) -> Update:
@@ -127,7 +127,7 @@
                 raise UpdateError(f"status {answer.status}")
             self._take(orjson.loads(answer.body))
         except (Malformed, UpdateError, orjson.JSONDecodeError) as problem:
-            self.remarks.append(c.LogEvent("warning", "list_answer_refused", {"why": str(problem)[:300]}))
+            self.log_events.append(c.LogEvent("warning", "list_answer_refused", {"why": str(problem)[:300]}))
             self.counts["refused"] += 1
             self._lost("unreadable")
             return
@@ -248,7 +248,7 @@
 
     def _odd(self, why: str, name: str = "") -> None:
         self.counts["odd_entries"] += 1
-        self.remarks.append(c.LogEvent("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
+        self.log_events.append(c.LogEvent("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
 
     def _entry(self, entry: Any, where: str) -> tuple[i.Server | None, Endpoint]:
         """One entry. What can't be read is none that asks for new work: its backend is barred, by its id, and the
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -34,11 +34,11 @@
     def __init__(self, clock: Clock) -> None:
         self.clock, self.limiter = clock, Limiter(LINES_PER_S, LINES_AT_ONCE)
 
-    def remark(self, remark: c.LogEvent) -> None:
+    def emit(self, event: c.LogEvent) -> None:
         now = self.clock()
-        may, left_out = self.limiter.may(now, remark.cause)
+        may, left_out = self.limiter.may(now, event.cause)
         if may:
-            line = {"at": round(now), "level": remark.level, "cause": remark.cause, **remark.fields}
+            line = {"at": round(now), "level": event.level, "cause": event.cause, **event.fields}
             if left_out:
                 line["left_out"] = left_out
             sys.stderr.buffer.write(orjson.dumps(line, default=str) + b"\n")
@@ -60,18 +60,18 @@
         config, core = self.config, self.core
         listening = socket.create_server(config.listen)
         self.shell = shell = Shell(
-            core, self.clock, peers=dict(enumerate(config.peers)), remark=self.log.remark, high_water=0,
+            core, self.clock, peers=dict(enumerate(config.peers)), log=self.log.emit, high_water=0,
             accept_at_once=ACCEPTED,
         )  # fmt: skip
         if config.known is not None:
             try:
-                core.begin_with(self.clock(), core.list.known(config.known))
+                core.preload_nodes(self.clock(), core.list.known(config.known))
             except UpdateError as problem:
-                core.tell(self.clock(), "error", "known_list_refused", why=str(problem))
+                core.log(self.clock(), "error", "known_list_refused", why=str(problem))
         await shell.serve(*config.listen, config.peer_listen, listening=listening)
         calm_collector()
-        core.tell(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
-                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.held))  # fmt: skip
+        core.log(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
+                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
         shell.carry_out()
         if os.environ.get("EDGE_TRACE"):
             self.trace(Trace(core))
@@ -85,7 +85,7 @@
             self.signals.detach()
 
     def trace(self, trace: Trace) -> None:
-        self.log.remark(c.LogEvent("debug", "trace", trace.line(self.clock())))
+        self.log.emit(c.LogEvent("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
@@ -95,23 +95,23 @@
             new = load(os.environ)
             made = setup(new)
         except ValueError as problem:
-            self.core.tell(now, "error", "reload_refused", why=str(problem))
+            self.core.log(now, "error", "reload_refused", why=str(problem))
         else:
             self.config = new
             self.core.reload(now, made)
-            self.core.tell(now, "info", "reloaded", discovery=new.discovery)
+            self.core.log(now, "info", "reloaded", discovery=new.discovery)
         self.shell.carry_out()
 
     async def end(self) -> None:
         """Clients may come for a while yet, and are answered; then nobody new."""
         core, shell = self.core, self.shell
-        core.tell(self.clock(), "info", "stopping", owed=core.engine.ledger.owed)
-        core.leave(self.clock(), core.setup.settings)
+        core.log(self.clock(), "info", "stopping", owed=core.engine.ledger.unanswered)
+        core.drain_clients(self.clock(), core.setup.settings)
         shell.carry_out()
         await asyncio.sleep(LAST_S)
         longest = max(k.deadline_ms for k in core.setup.settings.classes)
         answered = await shell.stop(min(longest, KILL_MS) - BEFORE_MS)
-        self.log.remark(c.LogEvent("info", "stopped", {"answered": answered, **core.figures()}))
+        self.log.emit(c.LogEvent("info", "stopped", {"answered": answered, **core.counts_by_component()}))
 
 
 def run(signals: Signals) -> int:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -44,13 +44,15 @@
     kept: int = 128
     pool: PoolSettings = field(default_factory=lambda: PoolSettings(most=64))
 
-    def parts(self, core: base.Core) -> Parts:
+    def components(self, core: base.Core) -> Components:
         where: dict[str, Endpoint] = {}
-        shared = Shared(self.settings, core.health, lambda: core.moving or core.stopping, self.kept, lambda: core.now)
-        return Parts(
+        shared = Shared(
+            self.settings, core.health, lambda: core.draining or core.stopping, self.kept, lambda: core.now
+        )
+        return Components(
             front=lambda: ClientConnection(shared),
-            pool=Pool(self.pool, where, core.new_conn, core.engine.at),
-            list=Members(self.discovery, self.seed, where, core.new_conn, core.engine.at),
+            pool=Pool(self.pool, where, core.new_conn, core.engine.call_at),
+            list=Members(self.discovery, self.seed, where, core.new_conn, core.engine.call_at),
             peers=self._peers(),
             shared=shared,
         )
@@ -59,18 +61,18 @@
         return Peers(self.settings.me, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
     def adopt(self, core: base.Core) -> None:
-        core.parts.shared.adopt(self.settings)
-        core.parts.shared.kept = self.kept
+        core.components.shared.adopt(self.settings)
+        core.components.shared.kept = self.kept
         core.pool.settings = self.pool
         if core.peers is None or core.peers.numbers != {a: k for k, a in enumerate(self.peers)}:
             # A number means another ingress now, or none: a word from the old one's address would count as its.
-            core.peers = core.parts.peers = self._peers()
-            core.orders.append(c.SetPeerAddresses(dict(enumerate(self.peers))))
+            core.peers = core.components.peers = self._peers()
+            core.commands.append(c.SetPeerAddresses(dict(enumerate(self.peers))))
         core.list.move(core.now, self.discovery)
 
 
 @dataclass(slots=True)
-class Parts(base.Parts):
+class Components(base.Components):
     shared: Shared | None = None  # what the clients' connections share
 
 
@@ -82,10 +84,10 @@
         handshake_ms=2_000.0,
         http_idle_ms=IDLE_MS,
         unread_ms=5_000.0,
-        unread=262_144,
+        max_unread_bytes=262_144,
         seed=config.seed,
-        most_clients=budget.clients,
-        courses=2,
+        max_clients=budget.clients,
+        max_traces=2,
         keep_list=False,
         discovery=config.discovery,
         peers=config.peers,
--- a/rushweir/edge/trace.py
+++ b/rushweir/edge/trace.py
@@ -22,14 +22,14 @@
         self.core, self.last, self.cpu = core, Counter[str](), time.process_time()
 
     def line(self, now: float) -> dict[str, Any]:
-        core, policy, figures = self.core, self.core.engine.policy, self.core.figures()
+        core, policy, figures = self.core, self.core.engine.policy, self.core.counts_by_component()
         assert isinstance(policy, Policy)
         room, fleet = policy.room, policy.fleet
         counts = Counter({prefix + k: n for part, prefix in PARTS.items() for k, n in figures[part].items()})
         cpu = time.process_time()
         since, self.last, spent, self.cpu = counts - self.last, counts, cpu - self.cpu, cpu
         return {
-            "cpu_ms": round(spent * 1000), "late_ms": round(core.overload.delay_ms, 1), "since": dict(since),
+            "cpu_ms": round(spent * 1000), "late_ms": round(core.load_shedder.delay_ms, 1), "since": dict(since),
             "room": [round(sum(room.parts.sizes), 2), round(sum(room.parts.used), 2)], "pressed": room.pressed(now),
             "credit": round(room.credit), "done_per_s": round(room.finished.per_s(now), 1),
             "lengths": {n: round(m.value) for n, m in room.length.items()}, "median": round(room.median, 2),
--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Mapping
 from hashlib import sha256
 
-from rushweir.ingress.asks import Partner
+from rushweir.ingress.queries import Partner
 
 # RFC 6750, 2.1: b64token = 1*( ALPHA / DIGIT / "-" / "." / "_" / "~" / "+" / "/" ) *"="
 BEARER = re.compile(r"(?i:bearer) +([A-Za-z0-9\-._~+/]{1,512}=*)\s*\Z")
@@ -50,7 +50,7 @@
         self.free: list[int] = []
         self.users: Counter[str] = Counter()  # partners of each plan
         for key, p in (by_digest or {}).items():
-            self.put(p.name, p.plan, bytes.fromhex(key.removeprefix("sha256:")), (p.first, p.spread))
+            self.put(p.name, p.plan, bytes.fromhex(key.removeprefix("sha256:")), (p.first_gateway, p.gateway_count))
 
     def partner(self, header: str | None) -> Partner | None:
         """The partner that an Authorization header proves; None where it proves none.
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -26,8 +26,8 @@
 from rushweir.fronts.credentials import Credentials
 from rushweir.fronts.messages import BatchSlot, FrontSettings, Ref, is_utf8, number
 from rushweir.fronts.states import CLOSING, HEAD, HTTP, OPEN
-from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.commands import Answer, AnswerKind
+from rushweir.ingress.queries import Partner, Query
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
 
@@ -55,7 +55,7 @@
         self.http: h11.Connection | None = None
         self.messages: Messages | None = None
         self.open_ids: set[rpc.Id] = set()
-        self.asked: list[tuple[Ref, Ask]] = []
+        self.asked: list[tuple[Ref, Query]] = []
         self.raw: list[bytes] = []  # HTTP answers
         self.end = False
         self.leaving = ""  # why requests are refused from now on
@@ -64,7 +64,7 @@
 
     # --- bytes in --------------------------------------------------------------------------------
 
-    def receive(self, data: bytes) -> list[tuple[Ref, Ask]]:
+    def receive(self, data: bytes) -> list[tuple[Ref, Query]]:
         """Take in bytes; returns the requests that they hold, which are then open until ``answer``."""
         if self.state is HEAD:
             self._head(data)
@@ -254,11 +254,11 @@
             self._problem(problem, slot)
             return
         if within is not None and (ask.within_ms is None or within < ask.within_ms):
-            ask = Ask(ask.cls, ask.payload, within, ask.units)
+            ask = Query(ask.cls, ask.payload, within, ask.units)
         self.open_ids.add(message.id)
         self.asked.append((Ref(message.id, slot), ask))
 
-    def _ask(self, call: rpc.Call) -> Ask:
+    def _ask(self, call: rpc.Call) -> Query:
         assert call.id is not None and self.partner is not None
         if call.id in self.open_ids:
             # Named in the data, not as the id: an error under that id would pass for the first one's answer.
@@ -288,7 +288,7 @@
         payload = {"partner": self.partner.name, "data": params.get("data"), "units": units}
         if key is not None:
             payload["key"] = f"{self.partner.name}/{key}"  # one partner's keys never meet another's
-        return Ask(call.method, payload, within, float(units))
+        return Query(call.method, payload, within, float(units))
 
     # --- answers ---------------------------------------------------------------------------------
 
@@ -306,12 +306,12 @@
             unknown = answer.why == "unknown_class"
             data = {
                 "reason": answer.why, "repeat": "harmless", "retry_after_ms": math.ceil(answer.retry_after_ms),
-                "request": answer.rid,
+                "request": answer.request_id,
             }  # fmt: skip
             code = rpc.METHOD_NOT_FOUND if unknown else rpc.REFUSED
             text = rpc.error(ref.id, code, f"refused: {answer.why}", data)
         else:
-            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.rid})
+            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.request_id})
         if ref.batch is None:
             self._send(text)
         else:
--- a/rushweir/ingress/clients.py
+++ b/rushweir/ingress/clients.py
@@ -8,7 +8,7 @@
 
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress import commands as c
-from rushweir.ingress.asks import Ask
+from rushweir.ingress.queries import Query
 
 if TYPE_CHECKING:
     from rushweir.ingress.core import Core
@@ -40,16 +40,16 @@
 
     def __init__(self, core: Core) -> None:
         self.core, self.open = core, dict[int, Client]()
-        self.engine, self.orders, self.counts = core.engine, core.orders, core.counts
+        self.engine, self.commands, self.counts = core.engine, core.commands, core.counts
 
     def accepted(self, address: str) -> int:
         conn = self.core.new_conn(None)
-        front = self.core.parts.front()
+        front = self.core.components.front()
         client = self.open[conn] = Client(conn, front, self.core.now, quiet_at=self.core.now)
         self.counts["accepted"] += 1
-        if len(self.open) > self.core.setup.most_clients:
+        if len(self.open) > self.core.setup.max_clients:
             self._make_room(client)
-        full = len(self.open) > self.core.setup.most_clients or not self.core.overload.takes_connections()
+        full = len(self.open) > self.core.setup.max_clients or not self.core.load_shedder.admits_connections()
         if self.core.stopping or full:
             self.counts["turned_away"] += 1
             front.turn_away()
@@ -59,14 +59,14 @@
             front.forbid()
             self._flush(client)
         else:
-            self.engine.at(self.core.now + self.core.setup.handshake_ms, self._head_late, client)
+            self.engine.call_at(self.core.now + self.core.setup.handshake_ms, self._head_late, client)
         return conn
 
     def received(self, client: Client, data: bytes) -> None:
         if client.ended:
             client.drained += len(data)
             if client.drained > MOST_DRAINED:
-                self.orders.append(c.AbortConnection(client.conn))
+                self.commands.append(c.AbortConnection(client.conn))
             return
         was_head = client.front.state is HEAD
         client.heard += 1
@@ -78,20 +78,20 @@
         if (part := client.front.partial) > client.timed:
             # A message begun late on a connection is to end in time too.
             client.timed = part
-            self.engine.at(self.core.now + self.core.setup.handshake_ms, self._part_late, (client, part))
+            self.engine.call_at(self.core.now + self.core.setup.handshake_ms, self._part_late, (client, part))
         self._flush(client)
 
-    def _take(self, client: Client, asked: Iterable[tuple[Any, Ask]]) -> None:
+    def _take(self, client: Client, asked: Iterable[tuple[Any, Query]]) -> None:
         for ref, ask in asked:
             partner = ask.partner or client.front.partner
             assert partner is not None
             if self.core.fleet is not None:
                 self.core.fleet.asked(self.core, partner, ask.units)
-            if self.core.overload.takes(self.core.values.get((ask.cls, partner.plan), 0.0)):
+            if self.core.load_shedder.admits(self.core.values.get((ask.cls, partner.plan), 0.0)):
                 self.engine.request(self.core.now, client.conn, ref, partner, ask)
             else:
-                wait = self.core.overload.wait_ms()
-                self.engine.turn_down(self.core.now, client.conn, ref, partner, ask, "overloaded", wait)
+                wait = self.core.load_shedder.retry_after_ms()
+                self.engine.reject(self.core.now, client.conn, ref, partner, ask, "overloaded", wait)
 
     def _part_late(self, what: tuple[Client, int]) -> None:
         client, part = what
@@ -108,12 +108,12 @@
         spare = [k for k in others if k.ended or k.front.spare(self.core.now - k.quiet_at)]
         spare.sort(key=lambda k: (not k.ended, k.heard > 0, k.quiet_at))
         # As many as are above the bound: one for each newcomer left those above it there, and all were turned away.
-        for oldest in spare[: len(self.open) - self.core.setup.most_clients]:
+        for oldest in spare[: len(self.open) - self.core.setup.max_clients]:
             self.counts["made_room"] += 1
             oldest.ended = True
             oldest.front.receive_eof()
             del self.open[oldest.conn]
-            self.orders.append(c.AbortConnection(oldest.conn))
+            self.commands.append(c.AbortConnection(oldest.conn))
 
     def ended(self, conn: int) -> bool:
         """The other side ended its writing, or the connection broke; whether it was a client's."""
@@ -124,21 +124,21 @@
         client.front.receive_eof()
         if left := self.engine.client_left(self.core.now, conn):
             self.counts["left_open"] += left
-        self.orders.append(c.CloseConnection(conn, 200.0))
+        self.commands.append(c.CloseConnection(conn, 200.0))
         return True
 
     def congested(self, client: Client, size: int) -> None:
         """Bytes wait to be written to it, ``size`` of them."""
         if client.ended:
             return
-        if size > self.core.setup.unread:
+        if size > self.core.setup.max_unread_bytes:
             # It asks and never reads: its answers would fill the memory that others need.
             self._unread(client)
         elif not client.held:
             # Its bytes are read on all the same: with reading paused nobody saw that it left.
             client.held = True
             client.helds += 1
-            self.engine.at(self.core.now + self.core.setup.unread_ms, self._still_held, (client, client.helds))
+            self.engine.call_at(self.core.now + self.core.setup.unread_ms, self._still_held, (client, client.helds))
 
     def drained(self, client: Client) -> None:
         client.held = False
@@ -157,7 +157,7 @@
         self._flush(client)
         if not client.ended:
             client.ended = True
-            self.orders.append(c.CloseConnection(client.conn, 1000.0))
+            self.commands.append(c.CloseConnection(client.conn, 1000.0))
         self.engine.client_left(self.core.now, client.conn)
 
     def _head_late(self, client: Client) -> None:
@@ -169,10 +169,10 @@
     def _head_done(self, client: Client) -> None:
         if client.front.state is HTTP:
             idle = self.core.setup.http_idle_ms
-            self.engine.at(self.core.now + idle, self._idle_http, (client, idle))
+            self.engine.call_at(self.core.now + idle, self._idle_http, (client, idle))
         else:
             idle = self.core.setup.ping_ms
-            self.engine.at(self.core.now + idle, self._idle, (client, client.heard, idle))
+            self.engine.call_at(self.core.now + idle, self._idle, (client, client.heard, idle))
 
     def _idle_http(self, what: tuple[Client, float]) -> None:
         """Plain HTTP has no ping: a connection ends when nothing was open on it for so long, to the moment."""
@@ -181,7 +181,7 @@
             return
         due = (self.core.now if client.front.engaged else client.quiet_at) + idle
         if due > self.core.now:
-            self.engine.at(due, self._idle_http, what)
+            self.engine.call_at(due, self._idle_http, what)
         else:
             self._silent(client)
 
@@ -198,7 +198,7 @@
             client.asked = True
             client.front.ping()
             self._flush(client)
-        self.engine.at(self.core.now + idle, self._idle, (client, client.heard, idle))
+        self.engine.call_at(self.core.now + idle, self._idle, (client, client.heard, idle))
 
     def _silent(self, client: Client) -> None:
         self.counts["silent_clients"] += 1
@@ -207,10 +207,10 @@
     def _flush(self, client: Client) -> None:
         writes, end = client.front.take()
         if writes:
-            self.orders.append(c.Write(client.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
+            self.commands.append(c.Write(client.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and not client.ended:
             client.ended = True
-            self.orders.append(c.CloseConnection(client.conn, 1000.0))
+            self.commands.append(c.CloseConnection(client.conn, 1000.0))
             self.engine.client_left(self.core.now, client.conn)
 
     def answer(self, answer: c.Answer) -> None:
@@ -223,14 +223,14 @@
         if client.front.backlog:
             self._take(client, client.front.receive(b""))
         self._flush(client)
-        if client.front.leaving or self.core.moving:
+        if client.front.leaving or self.core.draining:
             self.leave_if_idle(client)
 
     def leave_if_idle(self, client: Client) -> None:
         """Leave a connection once nothing is open on it and nothing comes: what is read after the close frame
         gets no answer, and its sender could not tell whether it was done."""
         if not client.front.open_ids and not client.ended:
-            self.engine.at(self.core.now + LINGER_MS, self._leave_if_quiet, (client, client.heard))
+            self.engine.call_at(self.core.now + LINGER_MS, self._leave_if_quiet, (client, client.heard))
 
     def _leave_if_quiet(self, what: tuple[Client, int]) -> None:
         client, heard = what
--- a/rushweir/ingress/commands.py
+++ b/rushweir/ingress/commands.py
@@ -14,7 +14,7 @@
 class Attempt:
     """One attempt of a request, from the policy's Send to its one Outcome."""
 
-    rid: str
+    request_id: str
     number: int
     server: str
     sent_ms: float
@@ -60,7 +60,7 @@
     body: Any = None  # the node's result, or its error object
     why: str = ""
     retry_after_ms: float = 0.0
-    rid: str = ""  # by which operators find the request; none where it was not taken
+    request_id: str = ""  # by which operators find the request; none where it was not taken
 
 
 class AnswerKind:
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -20,34 +20,34 @@
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
-from rushweir.ingress.engine import Decides, Engine
-from rushweir.ingress.listed import Listed
-from rushweir.ingress.setup import Parts, Setup
-from rushweir.overload.decisions import BEAT_MS, Overload
-from rushweir.watch.watch import Watch
+from rushweir.ingress.engine import DecisionPolicy, Engine
+from rushweir.ingress.known_nodes import KnownNodes
+from rushweir.ingress.setup import Components, Setup
+from rushweir.overload.decisions import SAMPLE_INTERVAL_MS, LoadShedder
+from rushweir.watch.telemetry import Telemetry
 
-__all__ = ["Core", "Parts", "Setup"]
+__all__ = ["Core", "Components", "Setup"]
 
 
 class Core:
     """One ingress. Take the orders from ``orders`` after each call and carry them out in order."""
 
-    def __init__(self, setup: Setup, policy: Decides, now: float) -> None:
+    def __init__(self, setup: Setup, policy: DecisionPolicy, now: float) -> None:
         self.setup, self.now = setup, now
         s = setup.settings
         aims = {k.name: k.aim_ms for k in s.classes}
-        self.watch = Watch(now, setup.partners(), aims, setup.sample, setup.courses)
-        self.engine = Engine(s, policy, now, margin_ms=setup.margin_ms, boot=setup.boot, watch=self.watch)
-        self.orders: deque[c.ShellCommand] = deque()
-        self.ups: dict[int, Any] = {}  # who handles a connection that this side opened
+        self.telemetry = Telemetry(now, setup.partners(), aims, setup.trace_share, setup.max_traces)
+        self.engine = Engine(s, policy, now, margin_ms=setup.margin_ms, boot=setup.boot, telemetry=self.telemetry)
+        self.commands: deque[c.ShellCommand] = deque()
+        self.upstream_handlers: dict[int, Any] = {}  # who handles a connection that this side opened
         self.next_conn = 0
         self.counts: Counter[str] = Counter()
-        self.stopping = self.moving = False
-        self.clients, self.nodes = Clients(self), Listed(self)
-        self.parts = parts = setup.parts(self)
+        self.stopping = self.draining = False
+        self.clients, self.nodes = Clients(self), KnownNodes(self)
+        self.components = parts = setup.components(self)
         self.pool, self.list, self.counter, self.peers = parts.pool, parts.list, parts.counter, parts.peers
         self.fleet, self.pool.wanted = parts.fleet, self.engine.wanted
-        self.overload = Overload(setup.late_ms, setup.most_late_ms)
+        self.load_shedder = LoadShedder(setup.late_ms, setup.max_late_ms)
         self._value_classes()
         self.carry = {
             c.SendAttempt: lambda x: self.pool.send(self.now, x.attempt),
@@ -60,7 +60,7 @@
             c.ProbeNode: lambda x: self.pool.probe(self.now, x.server),
             c.WatchList: lambda x: self.list.watch(self.now, x.on) if self.list else self._no_list(),
             c.FetchList: lambda x: self.list.fetch(self.now) if self.list else self._no_list(),
-            c.LogEvent: self.remark,
+            c.LogEvent: self.log_event,
         }
 
     # --- time ------------------------------------------------------------------------------------
@@ -69,7 +69,7 @@
         """Begin, with the list as it was kept on disk, if there is one."""
         self._at(now)
         self.engine.start(now)
-        self.engine.at(now + BEAT_MS, self._beat, now + BEAT_MS)
+        self.engine.call_at(now + SAMPLE_INTERVAL_MS, self._beat, now + SAMPLE_INTERVAL_MS)
         if last_list is not None:
             self.nodes.load(last_list)
         for service in (self.list, self.counter):
@@ -79,10 +79,10 @@
             self.fleet.start(self)
         self._run()
 
-    def begin_with(self, now: float, update: Update) -> None:
+    def preload_nodes(self, now: float, update: Update) -> None:
         """A list known beforehand, before the start."""
         self._at(now)
-        self.nodes.take(update)
+        self.nodes.apply_update(update)
 
     def next_at(self) -> float | None:
         at = self.engine.next_at()
@@ -107,18 +107,18 @@
 
     def _beat(self, planned: float) -> None:
         """How late this turn comes shows how short of CPU the process is; what is taken is due the earlier."""
-        self.overload.beat(self.now - planned)
-        self.engine.margin = self.setup.margin_ms + self.overload.delay_ms
-        history = self.watch.history
-        history.worst_delay = max(history.worst_delay, self.overload.delay_ms)
-        if (level := self.overload.level) != self.level:
+        self.load_shedder.record_delay(self.now - planned)
+        self.engine.margin = self.setup.margin_ms + self.load_shedder.delay_ms
+        history = self.telemetry.history
+        history.worst_delay = max(history.worst_delay, self.load_shedder.delay_ms)
+        if (level := self.load_shedder.level) != self.level:
             self.level, was = level, self.level
-            fields = {"level": level, "delay_ms": round(self.overload.delay_ms)}
-            self.remark(c.LogEvent("warning" if level > was else "info", "overload", fields))
-        self.engine.at(self.now + BEAT_MS, self._beat, self.now + BEAT_MS)
+            fields = {"level": level, "delay_ms": round(self.load_shedder.delay_ms)}
+            self.log_event(c.LogEvent("warning" if level > was else "info", "overload", fields))
+        self.engine.call_at(self.now + SAMPLE_INTERVAL_MS, self._beat, self.now + SAMPLE_INTERVAL_MS)
 
     def _value_classes(self) -> None:
-        s, self.level = self.setup.settings, self.overload.level
+        s, self.level = self.setup.settings, self.load_shedder.level
         prices = {p.name: p.price for p in s.plans}
         self.values = {(k.name, plan): k.worth * price for k in s.classes for plan, price in prices.items()}
 
@@ -136,14 +136,14 @@
         self._at(now)
         if (client := self.clients.open.get(conn)) is not None:
             self.clients.received(client, data)
-        elif (handler := self.ups.get(conn)) is not None:
+        elif (handler := self.upstream_handlers.get(conn)) is not None:
             handler.received(now, conn, data)
         self._run()
 
     def ended(self, now: float, conn: int) -> None:
         """The other side ended its writing, or the connection broke."""
         self._at(now)
-        if not self.clients.ended(conn) and (handler := self.ups.pop(conn, None)) is not None:
+        if not self.clients.ended(conn) and (handler := self.upstream_handlers.pop(conn, None)) is not None:
             handler.lost(now, conn)
         self._run()
 
@@ -153,26 +153,26 @@
         if (client := self.clients.open.get(conn)) is not None:
             self.clients.congested(client, size)
             self._run()
-        elif (handler := self.ups.get(conn)) is not None:
+        elif (handler := self.upstream_handlers.get(conn)) is not None:
             handler.congested(conn)
 
     def drained(self, now: float, conn: int) -> None:
         self._at(now)
         if (client := self.clients.open.get(conn)) is not None:
             self.clients.drained(client)
-        elif (handler := self.ups.get(conn)) is not None:
+        elif (handler := self.upstream_handlers.get(conn)) is not None:
             handler.drained(now, conn)
         self._run()
 
     def dialed(self, now: float, conn: int) -> None:
         self._at(now)
-        if (handler := self.ups.get(conn)) is not None:
+        if (handler := self.upstream_handlers.get(conn)) is not None:
             handler.dialed(now, conn)
         self._run()
 
     def dial_failed(self, now: float, conn: int) -> None:
         self._at(now)
-        if (handler := self.ups.pop(conn, None)) is not None:
+        if (handler := self.upstream_handlers.pop(conn, None)) is not None:
             handler.dial_failed(now, conn)
         self._run()
 
@@ -180,7 +180,7 @@
         """A new connection's number; ``handler`` is told what becomes of it, if this side opens it."""
         self.next_conn += 1
         if handler is not None:
-            self.ups[self.next_conn] = handler
+            self.upstream_handlers[self.next_conn] = handler
         return self.next_conn
 
     # --- peers, counter, list --------------------------------------------------------------------
@@ -207,7 +207,7 @@
             if to != me and 0 <= to < count:
                 data = self.peers.pack(self.now, to, command.text)
                 if data is not None:
-                    self.orders.append(c.SendPeerDatagram(to, data))
+                    self.commands.append(c.SendPeerDatagram(to, data))
                     if self.fleet is not None:
                         self.fleet.fleet.mail()
 
@@ -226,7 +226,7 @@
     def _no_list(self) -> None:
         self.engine.members(self.now, i.Scope.FAILED)
 
-    def drain(self, now: float, address: str, on: bool = True) -> bool:
+    def drain_node(self, now: float, address: str, on: bool = True) -> bool:
         """Drain a node by hand, or readmit it; whether the list has such a node."""
         self._at(now)
         known = self.nodes.drain(address, on)
@@ -242,23 +242,23 @@
         self.setup = setup
         settings = setup.settings if self.fleet is None else self.fleet.among(setup.settings)
         self.engine.adopt(now, settings, setup.margin_ms)
-        self.overload.adopt(setup.late_ms, setup.most_late_ms)
+        self.load_shedder.adopt(setup.late_ms, setup.max_late_ms)
         self._value_classes()
-        self.watch.usage.know(setup.partners())
-        self.watch.know_classes({k.name: k.aim_ms for k in setup.settings.classes})
-        self.watch.courses.adopt(setup.sample, setup.courses)
+        self.telemetry.usage.know(setup.partners())
+        self.telemetry.know_classes({k.name: k.aim_ms for k in setup.settings.classes})
+        self.telemetry.traces.adopt(setup.trace_share, setup.max_traces)
         setup.adopt(self)
-        self.nodes.put(Update(i.Scope.FULL, -1, tuple(self.nodes.listed.values())))
+        self.nodes.publish(Update(i.Scope.FULL, -1, tuple(self.nodes.listed.values())))
         self._run()
 
-    def remark(self, remark: c.LogEvent) -> None:
-        self.watch.event(self.now, remark.level, remark.cause, remark.fields)
-        self.orders.append(remark)
+    def log_event(self, event: c.LogEvent) -> None:
+        self.telemetry.event(self.now, event.level, event.cause, event.fields)
+        self.commands.append(event)
 
-    def tell(self, now: float, level: str, cause: str, **fields: Any) -> None:
+    def log(self, now: float, level: str, cause: str, **fields: Any) -> None:
         """An event of the process around this, for the log and for whoever looks."""
         self.now = now
-        self.remark(c.LogEvent(level, cause, fields))
+        self.log_event(c.LogEvent(level, cause, fields))
 
     # --- inside ----------------------------------------------------------------------------------
 
@@ -266,8 +266,8 @@
         """Carry out what the parts want of each other until none wants anything."""
         engine, pool, counter, source = self.engine, self.pool, self.counter, self.list
         while True:
-            while engine.out:
-                command = engine.out.popleft()
+            while engine.commands:
+                command = engine.commands.popleft()
                 self.carry[type(command)](command)
             if pool.ended:
                 ended, pool.ended = pool.ended, []
@@ -287,34 +287,34 @@
             if source is not None and source.updates:
                 updates, source.updates = source.updates, []
                 for update in updates:
-                    self.nodes.take(update)
+                    self.nodes.apply_update(update)
                 continue
-            if not engine.out:
+            if not engine.commands:
                 break
         for part in (pool, *(s.link for s in (counter, source) if s is not None)):
             if part.out:
-                self.orders.extend(part.out)
+                self.commands.extend(part.out)
                 part.out.clear()
         if self.fleet is not None and self.fleet.fleet.orders:
             self.fleet.carry(self)
-        if source is not None and source.remarks:
-            for remark in source.remarks:
-                self.remark(remark)
-            source.remarks.clear()
+        if source is not None and source.log_events:
+            for remark in source.log_events:
+                self.log_event(remark)
+            source.log_events.clear()
 
     # --- to be seen ------------------------------------------------------------------------------
 
     def health(self) -> tuple[int, dict[str, Any]]:
         """Status and body of the health page: whether this ingress can serve, and why not."""
-        ready = sum(s.state is i.State.READY for s in self.nodes.held.values())
-        why = "stopping" if self.stopping or self.moving else "no nodes" if not ready else ""
+        ready = sum(s.state is i.State.READY for s in self.nodes.effective.values())
+        why = "stopping" if self.stopping or self.draining else "no nodes" if not ready else ""
         page = {
             "status": "ok" if not why else "unready", "why": why, "ingress": self.setup.settings.me,
-            "nodes_ready": ready, "open_requests": self.engine.ledger.owed, "clients": len(self.clients.open),
+            "nodes_ready": ready, "open_requests": self.engine.ledger.unanswered, "clients": len(self.clients.open),
         }  # fmt: skip
         return (503 if why else 200), page
 
-    def figures(self) -> dict[str, Any]:
+    def counts_by_component(self) -> dict[str, Any]:
         """Counts since the start, by part."""
         return {
             "engine": dict(self.engine.counts), "refusals": dict(self.engine.refusals),
@@ -322,18 +322,18 @@
             "peers": dict(self.peers.counts) if self.peers else {},
             "list": dict(self.list.counts) if self.list else {},
             "counter": dict(self.counter.counts) if self.counter else {},
-            "faults": self.engine.faults, "owed": self.engine.ledger.owed, "clients": len(self.clients.open),
+            "faults": self.engine.faults, "owed": self.engine.ledger.unanswered, "clients": len(self.clients.open),
             "entries": len(self.engine.ledger.entries), "timers": len(self.engine.timers),
             "links": len(self.pool.links),
         }  # fmt: skip
 
     # --- the end ---------------------------------------------------------------------------------
 
-    def leave(self, now: float, settings: i.Settings) -> None:
+    def drain_clients(self, now: float, settings: i.Settings) -> None:
         """A successor takes new connections from now on: each connection here is closed at its first idle moment,
         and served until then, by ``settings``. Nothing more is kept on disk: that is the successor's."""
         self._at(now)
-        self.moving = True
+        self.draining = True
         if self.fleet is not None:
             self.fleet.hand_over(self)
         self.engine.adopt(now, settings, self.setup.margin_ms)
@@ -353,7 +353,7 @@
     def idle(self) -> bool:
         """Whether nobody waits: no answer is owed, nobody is in the middle of a request, and each client was told to
         go, or came after the end began."""
-        return self.engine.ledger.owed == 0 and all(
+        return self.engine.ledger.unanswered == 0 and all(
             k.ended or (k.front.state in (CLOSING, HEAD, HTTP) and not k.front.partial)
             for k in self.clients.open.values()
         )
@@ -362,7 +362,7 @@
         """Close all connections: clients with 1001, "going away" (RFC 6455, 7.4.1). What is still owed is
         answered before, so that the resets of the nodes' connections send nothing on."""
         self._at(now)
-        self.engine.give_up_all(now, "stopping")
+        self.engine.answer_all(now, "stopping")
         self._run()
         for client in list(self.clients.open.values()):
             self.clients.leave(client)
--- a/rushweir/ingress/listed.py
+++ b/rushweir/ingress/known_nodes.py
@@ -14,53 +14,55 @@
     from rushweir.ingress.core import Core
 
 
-class Listed:
+class KnownNodes:
     """What the list said last, what was done by hand, and what the policy was told."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
         self.listed: dict[str, i.Server] = {}  # as the list has them
-        self.by_hand: set[str] = set()  # of these, drained by an operator
-        self.held: dict[str, i.Server] = {}  # as the policy was told
-        self.listed_at: float | None = None  # when the last good update was read
+        self.drained_by_hand: set[str] = set()  # of these, drained by an operator
+        self.effective: dict[str, i.Server] = {}  # as the policy was told
+        self.updated_at: float | None = None  # when the last good update was read
 
     def load(self, last_list: bytes) -> None:
         """The list as it was kept on disk."""
         try:
-            servers, self.by_hand = kept.load(last_list)
+            servers, self.drained_by_hand = kept.load(last_list)
         except UpdateError as problem:
-            self.core.remark(c.LogEvent("error", "kept_list_refused", {"why": str(problem)}))
+            self.core.log_event(c.LogEvent("error", "kept_list_refused", {"why": str(problem)}))
         else:
-            self.take(Update(i.Scope.CACHED, -1, servers))
+            self.apply_update(Update(i.Scope.CACHED, -1, servers))
 
-    def take(self, update: Update) -> None:
+    def apply_update(self, update: Update) -> None:
         """Put an update to the policy and the pool, at the moment when it was read, and keep the list."""
         if update.scope is i.Scope.FAILED:
             self.core.counts["list_failed"] += 1
             self.core.engine.members(self.core.now, update.scope)
             return
         self.listed = apply(self.listed, update)
-        self.by_hand &= self.listed.keys()
-        self.put(update)
+        self.drained_by_hand &= self.listed.keys()
+        self.publish(update)
         if update.scope is not i.Scope.CACHED:
-            self.listed_at = self.core.now
+            self.updated_at = self.core.now
             self._keep()
 
-    def put(self, update: Update) -> None:
+    def publish(self, update: Update) -> None:
         """An update as it holds here: without strange nodes, and with those drained by hand as draining."""
         update = self._known_networks(update)
         servers = tuple(
-            replace(s, state=i.State.DRAINING) if s.state is i.State.READY and s.address in self.by_hand else s
+            replace(s, state=i.State.DRAINING)
+            if s.state is i.State.READY and s.address in self.drained_by_hand
+            else s
             for s in update.servers
         )
         self.core.engine.members(self.core.now, update.scope, servers)
-        self.held = apply(self.held, Update(update.scope, update.version, servers))
-        self.core.pool.notified(self.core.now, {a: s.state for a, s in self.held.items()})
-        self.core.watch.know_nodes(self.held)
+        self.effective = apply(self.effective, Update(update.scope, update.version, servers))
+        self.core.pool.notified(self.core.now, {a: s.state for a, s in self.effective.items()})
+        self.core.telemetry.know_nodes(self.effective)
 
     def _keep(self) -> None:
-        if not self.core.moving and self.core.setup.keep_list:
-            self.core.orders.append(c.SaveList(kept.dump(self.listed, self.by_hand, self.core.now)))
+        if not self.core.draining and self.core.setup.keep_list:
+            self.core.commands.append(c.SaveList(kept.dump(self.listed, self.drained_by_hand, self.core.now)))
 
     def drain(self, address: str, on: bool) -> bool:
         """Drain a node by hand, or readmit it, as if the list had said so; whether the list has such a node.
@@ -68,11 +70,13 @@
         server = self.listed.get(address)
         if server is None:
             return False
-        if (address in self.by_hand) is not on:
-            (self.by_hand.add if on else self.by_hand.discard)(address)
+        if (address in self.drained_by_hand) is not on:
+            (self.drained_by_hand.add if on else self.drained_by_hand.discard)(address)
             self.core.counts["drained_by_hand" if on else "readmitted_by_hand"] += 1
-            self.core.remark(c.LogEvent("info", "drained_by_hand" if on else "readmitted_by_hand", {"node": address}))
-            self.put(Update(i.Scope.DELTA, -1, (server,)))
+            self.core.log_event(
+                c.LogEvent("info", "drained_by_hand" if on else "readmitted_by_hand", {"node": address})
+            )
+            self.publish(Update(i.Scope.DELTA, -1, (server,)))
             self._keep()
         return True
 
@@ -90,5 +94,5 @@
             return update
         self.core.counts["strange_nodes"] += len(strange)
         fields = {"count": len(strange), "first": strange[0].address}
-        self.core.remark(c.LogEvent("error", "node_outside_networks", fields))
+        self.core.log_event(c.LogEvent("error", "node_outside_networks", fields))
         return Update(update.scope, update.version, tuple(known))
--- a/rushweir/ingress/ledger.py
+++ b/rushweir/ingress/ledger.py
@@ -39,18 +39,18 @@
     """One request taken, and all that is known of it."""
 
     __slots__ = (
-        "attempts", "conn", "course", "customer", "cls", "may_have_run", "method", "not_after", "out", "payload",
-        "ref", "rid", "state", "taken", "units",
+        "attempts", "conn", "pending_trace", "customer", "cls", "may_have_run", "method", "not_after", "out",
+        "payload", "ref", "request_id", "state", "taken", "units",
     )  # fmt: skip
 
     def __init__(
-        self, rid: str, conn: int, ref: Any, cls: str, customer: str, units: float, taken: float,
+        self, request_id: str, conn: int, ref: Any, cls: str, customer: str, units: float, taken: float,
         not_after: float, payload: dict[str, Any],
     ) -> None:  # fmt: skip
-        self.rid, self.conn, self.ref, self.cls, self.customer = rid, conn, ref, cls, customer
+        self.request_id, self.conn, self.ref, self.cls, self.customer = request_id, conn, ref, cls, customer
         self.units, self.taken, self.not_after, self.payload = units, taken, not_after, payload
         self.state = HELD
-        self.course: Any = None  # what the watch wants noted of it when its last attempt is back
+        self.pending_trace: Any = None  # what the watch wants noted of it when its last attempt is back
         self.attempts: list[Attempt] = []
         self.out = 0  # attempts without an outcome
         self.may_have_run = False  # some attempt ended in a way that does not prove the opposite
@@ -59,7 +59,7 @@
         try:
             self.state = STEPS[self.state, event]
         except KeyError:
-            raise LedgerError(f"request {self.rid}: {event} while {self.state}") from None
+            raise LedgerError(f"request {self.request_id}: {event} while {self.state}") from None
 
 
 class Ledger:
@@ -69,16 +69,16 @@
         self.most = most
         self.entries: dict[str, Entry] = {}
         self.by_conn: dict[int, dict[str, Entry]] = {}
-        self.owed = 0
+        self.unanswered = 0
         self.serial = 0
 
-    def full(self) -> bool:
-        return self.owed >= self.most
+    def is_full(self) -> bool:
+        return self.unanswered >= self.most
 
     def take(self, entry: Entry) -> None:
-        self.entries[entry.rid] = entry
-        self.by_conn.setdefault(entry.conn, {})[entry.rid] = entry
-        self.owed += 1
+        self.entries[entry.request_id] = entry
+        self.by_conn.setdefault(entry.conn, {})[entry.request_id] = entry
+        self.unanswered += 1
 
     def send(self, entry: Entry, attempt: Attempt) -> None:
         entry.step(SEND)
@@ -88,7 +88,7 @@
     def ended(self, entry: Entry, attempt: Attempt, never_ran: bool) -> None:
         """Note an attempt's one outcome; a second one is a fault of the caller and raises."""
         if attempt.ended:
-            raise LedgerError(f"request {entry.rid}: attempt {attempt.number} ended twice")
+            raise LedgerError(f"request {entry.request_id}: attempt {attempt.number} ended twice")
         attempt.ended = True
         entry.out -= 1
         entry.may_have_run |= not never_ran
@@ -100,10 +100,10 @@
     def finish(self, entry: Entry, event: str) -> None:
         """The final answer was given, or the client left; the entry stays for the attempts still out."""
         entry.step(event)
-        self.owed -= 1
+        self.unanswered -= 1
         mine = self.by_conn.get(entry.conn)
         if mine is not None:
-            mine.pop(entry.rid, None)
+            mine.pop(entry.request_id, None)
             if not mine:
                 del self.by_conn[entry.conn]
         entry.payload = {}
@@ -111,7 +111,7 @@
 
     def drop(self, entry: Entry) -> None:
         if entry.state is DONE and not entry.out:
-            self.entries.pop(entry.rid, None)
+            self.entries.pop(entry.request_id, None)
 
     def of(self, conn: int) -> list[Entry]:
         """The requests of one connection that are owed an answer, oldest first."""
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -21,8 +21,8 @@
 from rushweir.rollout.ceilings import CLOSED
 
 if TYPE_CHECKING:
-    from rushweir.ingress.asks import Partner
     from rushweir.ingress.core import Core
+    from rushweir.ingress.queries import Partner
 
 FILE = "fleet"  # in the state folder: what a seed voted for
 LOAD, LOAD_BYTES = 16, 48  # an entry of each ingress: what it answered and refused, what is open
@@ -50,7 +50,7 @@
         """The fleet itself runs by now, or is started here."""
         if self.fleet.next_at() is None:
             self.fleet.start(core.now)
-        core.engine.at(core.now, self._look, core)
+        core.engine.call_at(core.now, self._look, core)
         self.budgets.start(core.now)
         self.budgets.bucket = lambda name: _bucket(core, name)
         self._settings(core.setup.settings)
@@ -69,17 +69,17 @@
             order = orders.popleft()
             match order:
                 case o.SendTo():
-                    core.orders.append(c.SendDatagram(order.address, order.data))
+                    core.commands.append(c.SendDatagram(order.address, order.data))
                 case o.KeepFile():
-                    core.orders.append(c.SaveFile(FILE, order.serial, order.data))
+                    core.commands.append(c.SaveFile(FILE, order.serial, order.data))
                 case o.Note():
-                    core.remark(c.LogEvent(order.level, order.cause, order.fields))
+                    core.log_event(c.LogEvent(order.level, order.cause, order.fields))
                 case o.SeatChanged():
-                    core.remark(c.LogEvent("info", "number", {"number": order.number}))
+                    core.log_event(c.LogEvent("info", "number", {"number": order.number}))
                 case o.ViewChanged():
                     self._peers(core)
                     self._present(core)
-                    core.remark(c.LogEvent("info", "view", {"view": self.fleet.view.number}))
+                    core.log_event(c.LogEvent("info", "view", {"view": self.fleet.view.number}))
 
     # --- budgets ---------------------------------------------------------------------------------
 
@@ -94,10 +94,12 @@
         """A request came, before it is decided on."""
         plan = self.ceilings.get(partner.plan)
         if plan is not None:
-            count = 0 if partner.spread >= self.fleet.settings.most else partner.spread
+            count = 0 if partner.gateway_count >= self.fleet.settings.most else partner.gateway_count
             # What is between two settings is owned whole: nothing of it is lent, or kept by a home.
             floor = 1.0 if plan.name.startswith(CLOSED) else self.floor
-            whole = Whole.of(plan.ceiling_rate, plan.ceiling_burst, floor, partner.first if count else 0, count)
+            whole = Whole.of(
+                plan.ceiling_rate, plan.ceiling_burst, floor, partner.first_gateway if count else 0, count
+            )
             self.budgets.demand(core.now, partner.name, whole, int(units * UNIT))
             self._parts(core)
 
@@ -116,7 +118,7 @@
                         "lent_ms": 0.0 if x.kept else round(x.lent_ms, 1), "owned_rate": x.owned.rate,
                         "owned_burst": x.owned.burst,
                     }  # fmt: skip
-                    core.orders.append(c.LogEvent("info", "part", fields))
+                    core.commands.append(c.LogEvent("info", "part", fields))
 
     def _settings(self, settings: i.Settings) -> None:
         self.ceilings = {p.name: p for p in settings.plans if p.ceiling_rate}
@@ -132,7 +134,7 @@
 
     def _peers(self, core: Core) -> None:
         seats = self.fleet.view.seats
-        core.orders.append(c.SetPeerAddresses({n: s.address for n, s in seats.items() if n != self.number}))
+        core.commands.append(c.SetPeerAddresses({n: s.address for n, s in seats.items() if n != self.number}))
 
     def _look(self, core: Core) -> None:
         """Whether the number is still this process's own; and what it did, for the others."""
@@ -140,15 +142,15 @@
         if not self.fleet.leaving and self.given and self.fleet.seat() != self.number and not self.ended:
             # It may be another's by now: two that work under one number would each spend its parts.
             self.ended = True
-            core.remark(c.LogEvent("error", "number_lost", {"number": self.number}))
-            core.orders.append(c.EndProcess(f"number {self.number} is not surely its own any more"))
+            core.log_event(c.LogEvent("error", "number_lost", {"number": self.number}))
+            core.commands.append(c.EndProcess(f"number {self.number} is not surely its own any more"))
         pace = max(TELL_MS, self.fleet.members.count() / TOLD_PER_S * 1000)
         if core.now - self.told_at >= pace and not self.fleet.leaving:
             self.told_at = core.now
-            n, owed = core.engine.counts, core.engine.ledger.owed
-            figures = [n["served"], n["refused"], n["failed"], owed, core.overload.level]
+            n, owed = core.engine.counts, core.engine.ledger.unanswered
+            figures = [n["served"], n["refused"], n["failed"], owed, core.load_shedder.level]
             self.fleet.publish(LOAD, msgpack.packb(figures))
-        core.engine.at(core.now + LOOK_MS, self._look, core)
+        core.engine.call_at(core.now + LOOK_MS, self._look, core)
 
     def leave(self, core: Core, now: float) -> None:
         self.fleet.now = now
--- a/rushweir/ingress/asks.py
+++ b/rushweir/ingress/queries.py
@@ -12,12 +12,12 @@
 
     name: str
     plan: str
-    spread: int = 1  # ingresses that its requests may arrive through ...
-    first: int = 0  # ... counted round from this one
+    gateway_count: int = 1  # ingresses that its requests may arrive through ...
+    first_gateway: int = 0  # ... counted round from this one
 
 
 @dataclass(slots=True)  # not frozen: one is made for each request, and freezing triples its cost
-class Ask:
+class Query:
     """A request as a front understood it."""
 
     cls: str
@@ -25,4 +25,4 @@
     within_ms: float | None = None  # how long the client says that it waits; None: the class's deadline
     units: float = 1.0
     partner: Partner | None = None  # whose it is, where that is not the connection's affair
-    since_ms: float | None = None  # when it came, where it waited for the one before it; None: now
+    arrived_ms: float | None = None  # when it came, where it waited for the one before it; None: now
--- a/rushweir/ingress/setup.py
+++ b/rushweir/ingress/setup.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class Components:
     """What speaks with the outside. ``front`` makes the state of a client's new connection; ``list``, ``counter``,
     ``peers`` and ``fleet`` may be missing."""
 
@@ -38,19 +38,19 @@
     ping_ms: float = 30_000.0  # a client heard of for so long is asked whether it is there; twice: dropped
     http_idle_ms: float = 15_000.0
     unread_ms: float = 10_000.0  # a client that takes nothing of its answers for so long is dropped
-    unread: int = 1_048_576  # bytes of answers that wait for a client that does not read
+    max_unread_bytes: int = 1_048_576  # bytes of answers that wait for a client that does not read
     seed: int = 0
     boot: str = ""
-    most_clients: int = MOST_CLIENTS
-    sample: float = 0.0  # share of requests whose course is kept although nothing went wrong
-    courses: int = 2_000  # kept at most
+    max_clients: int = MOST_CLIENTS
+    trace_share: float = 0.0  # share of requests whose course is kept although nothing went wrong
+    max_traces: int = 2_000  # kept at most
     late_ms: float = 60.0  # turns of this process that come later are too late ...
-    most_late_ms: float = 400.0  # ... and so late that nothing new is taken
+    max_late_ms: float = 400.0  # ... and so late that nothing new is taken
     client_networks: AddressSet | None = None  # that may connect; None: all
     node_networks: AddressSet | None = None  # that nodes may stand in
     keep_list: bool = True  # on disk, for the next start
 
-    def parts(self, core: Core) -> Parts:
+    def components(self, core: Core) -> Components:
         raise NotImplementedError
 
     def adopt(self, core: Core) -> None:
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -61,11 +61,11 @@
         peers: dict[int, tuple[str, int]] | None = None,
         folder: Path | None = None,
         end: Callable[[str], None] | None = None,
-        remark: Callable[[c.LogEvent], None] | None = None,
+        log: Callable[[c.LogEvent], None] | None = None,
         high_water: int = HIGH_WATER,
         accept_at_once: int = BACKLOG,
     ) -> None:
-        """``folder`` keeps what outlives this process; ``end`` is told why it may not go on. ``remark`` gets the
+        """``folder`` keeps what outlives this process; ``end`` is told why it may not go on. ``log`` gets the
         lines for the log; a connection with more than ``high_water`` bytes unsent is
         reported as congested. ``accept_at_once``: connections taken in one turn of the loop, so that a crowd
         does not pass the bound on descriptors before the core has seen any of it."""
@@ -85,7 +85,7 @@
         self.saving: bytes | None = None
         self.saver: asyncio.Task | None = None
         self.carrying = self.dead = False
-        core.engine.present = self.present
+        core.engine.is_connected = self.present
         self.carry = {
             c.Write: self._write,
             c.Dial: self._dial,
@@ -97,7 +97,7 @@
             c.SaveFile: self._save_file,
             c.SetPeerAddresses: self._peers,
             c.EndProcess: lambda order: end(order.why) if end is not None else None,
-            c.LogEvent: remark or (lambda _: None),
+            c.LogEvent: log or (lambda _: None),
         }
 
     # --- start and end ---------------------------------------------------------------------------
@@ -136,7 +136,7 @@
             found["peers"] = self.udp.get_extra_info("socket").fileno()
         return found
 
-    async def leave(self, settings: i.Settings, within_ms: float) -> bool:
+    async def drain_and_stop(self, settings: i.Settings, within_ms: float) -> bool:
         """A successor listens on the same sockets by now: take no more connections, serve each that is open until
         its first idle moment, then end as ``stop`` does. The listening socket is only closed here, so that what
         waits in its queue is the successor's."""
@@ -146,7 +146,7 @@
             sender = Sender(self.udp.get_extra_info("socket"))
             self.udp.close()
             self.udp = sender
-        self.core.leave(self.clock(), settings)
+        self.core.drain_clients(self.clock(), settings)
         self.carry_out()
         end = self.loop.time() + within_ms / 1000
         while self.core.clients.open and self.loop.time() < end:
@@ -215,12 +215,12 @@
     def carry_out(self) -> None:
         """Carry out all orders there are, and set the timer."""
         if self.dead:
-            self.core.orders.clear()
+            self.core.commands.clear()
             return
         if self.carrying:
             return  # an order caused a call of the core; its orders are taken by the loop below
         self.carrying = True
-        orders, carry = self.core.orders, self.carry
+        orders, carry = self.core.commands, self.carry
         try:
             while orders:
                 order = orders.popleft()
@@ -332,7 +332,7 @@
         try:
             await asyncio.to_thread(replace_file, path, order.data)
         except OSError as problem:
-            self.core.tell(self.clock(), "error", "file_not_kept", file=order.name, why=str(problem))
+            self.core.log(self.clock(), "error", "file_not_kept", file=order.name, why=str(problem))
         else:
             self.core.file_saved(self.clock(), order.serial)
         self.carry_out()
@@ -351,6 +351,6 @@
                 await asyncio.to_thread(replace_file, self.list_file, data)
             except OSError as problem:
                 # All goes on but this: the next list is written again, and says so again.
-                self.core.tell(self.clock(), "error", "list_not_kept", why=str(problem))
+                self.core.log(self.clock(), "error", "list_not_kept", why=str(problem))
                 self.carry_out()
         self.saver = None
--- a/rushweir/ingress/transports.py
+++ b/rushweir/ingress/transports.py
@@ -50,7 +50,7 @@
             sock = transport.get_extra_info("socket")
             # The transport's own descriptor, to be looked at without reading from it; given back before it closes.
             shell.clients[self.conn] = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
-        elif self.conn in shell.core.ups:
+        elif self.conn in shell.core.upstream_handlers:
             shell.transports[self.conn] = transport
             shell.core.dialed(shell.clock(), self.conn)
         else:  # given up meanwhile
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -38,10 +38,10 @@
     counter_url: str = ""
     fleet: Membership | None = None
 
-    def parts(self, core: base.Core) -> base.Parts:
-        s, at = self.settings, core.engine.at
+    def components(self, core: base.Core) -> base.Components:
+        s, at = self.settings, core.engine.call_at
         headers = {"User-Agent": f"rushweir ingress={s.me} zone={s.zone}"}
-        made = base.Parts(
+        made = base.Components(
             lambda: ClientConnection(core.setup.front, lambda: core.setup.credentials, core.health),
             Pool(self.pool, headers, core.new_conn, at),
         )
@@ -81,12 +81,12 @@
             if c is None or partner is None:
                 continue
             quota.move(c, partner.plan, now)
-            if c.through != (partner.first, partner.spread):
+            if c.through != (partner.first_gateway, partner.gateway_count):
                 quota.refill(c, now)
                 if core.fleet is not None:
                     let_go(core.fleet.budgets, name)
                     core.engine.part(now, i.Part(name, 0.0, 0.0))  # until the next request says what it has now
-                c.through = partner.first, partner.spread
+                c.through = partner.first_gateway, partner.gateway_count
                 c.doors, c.ranks = quota.around(c.hash, *c.through)
                 quota.refill(c, now)  # no more than the new part's burst
 
@@ -100,11 +100,11 @@
         core.setup = self
         settings = self.settings if core.fleet is None else core.fleet.among(self.settings)
         core.engine.adopt(now, settings, self.margin_ms)
-        core.overload.adopt(self.late_ms, self.most_late_ms)
+        core.load_shedder.adopt(self.late_ms, self.max_late_ms)
         core._value_classes()
-        core.watch.usage.know(self.partners())
-        core.watch.know_classes({k.name: k.aim_ms for k in self.settings.classes})
-        core.watch.courses.adopt(self.sample, self.courses)
+        core.telemetry.usage.know(self.partners())
+        core.telemetry.know_classes({k.name: k.aim_ms for k in self.settings.classes})
+        core.telemetry.traces.adopt(self.trace_share, self.max_traces)
         self.adopt(core)
         core._run()
 
--- a/rushweir/lab/sabotage.py
+++ b/rushweir/lab/sabotage.py
@@ -19,7 +19,7 @@
 from rushweir.config.load import Config
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
-from rushweir.ingress.listed import Listed
+from rushweir.ingress.known_nodes import KnownNodes
 from rushweir.policy import decide, room, servers
 
 
@@ -59,14 +59,14 @@
 
 def drain() -> None:
     """Rule 3: whatever the list says, a node once known stays ready."""
-    real = Listed.take
+    real = KnownNodes.apply_update
 
-    def take(self: Listed, update) -> None:
+    def apply_update(self: KnownNodes, update) -> None:
         ready = tuple(replace(s, state=i.State.READY) for s in update.servers)
-        scope = i.Scope.DELTA if self.held else update.scope
+        scope = i.Scope.DELTA if self.effective else update.scope
         real(self, replace(update, servers=ready, scope=scope))
 
-    Listed.take = take
+    KnownNodes.apply_update = apply_update
 
 
 def cold() -> None:
--- a/rushweir/lab/scale/drawn.py
+++ b/rushweir/lab/scale/drawn.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from itertools import accumulate
 
-from rushweir.ingress.asks import Ask
+from rushweir.ingress.queries import Query
 
 
 class Tail:
@@ -66,6 +66,6 @@
     return [(classes[k % len(classes)], 2.0 if k % 7 == 6 else 1.0) for k in range(count)]
 
 
-def ask(cls: str, units: float, partner: object) -> Ask:
+def ask(cls: str, units: float, partner: object) -> Query:
     """As a front would have understood it."""
-    return Ask(cls, {"data": {"work": 1}}, None, units, partner)  # type: ignore[arg-type]
+    return Query(cls, {"data": {"work": 1}}, None, units, partner)  # type: ignore[arg-type]
--- a/rushweir/lab/scale/hollow.py
+++ b/rushweir/lab/scale/hollow.py
@@ -22,9 +22,9 @@
 from rushweir.daemon.joining import Joining, bound, member
 from rushweir.fleet.views import SEATED
 from rushweir.ingress import commands as c
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.core import Core
 from rushweir.ingress.membership import Membership
+from rushweir.ingress.queries import Partner
 from rushweir.ingress.shell import Shell
 from rushweir.ingress.transports import Connection
 from rushweir.lab.scale.accounts import LIST, Account, kind_of
@@ -205,15 +205,15 @@
         core = Core(setup, Timed(Policy(setup.settings, self.seed, now), self.account), now)
         self.shell = HollowShell(
             core, self.clock, self.account, self.udp, self.moved, folder=self.config.state, end=self._end,
-            remark=self._remark,
+            log=self._log_event,
         )  # fmt: skip
         self.shell.open()
         self.partners = list(setup.credentials.by_digest.values())
         self.requests = Requests(self.rng, self.scene.tenants_at(number, self.tail), self.scene.route_table())
         self._moved()
 
-    def _remark(self, remark: c.LogEvent) -> None:
-        if remark.cause == "view":
+    def _log_event(self, event: c.LogEvent) -> None:
+        if event.cause == "view":
             self._moved()
 
     def _moved(self) -> None:
@@ -262,5 +262,5 @@
             # As text, for these are no sums: what came between two dumps of them is the later one.
             "has": {"held": str(len(budgets.held)), "homes": str(len(budgets.homes)),
                     "faults": str(core.engine.faults), "age": str(self.fleet.age()), "ended": self.ended,
-                    "level": str(core.overload.level)},
+                    "level": str(core.load_shedder.level)},
         }  # fmt: skip
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -101,8 +101,8 @@
 class HollowSetup(websocket.Setup):
     """The ingress of ``rushweir serve`` without clients and nodes."""
 
-    def parts(self, core: base.Core) -> base.Parts:
-        made = websocket.Setup.parts(self, core)
+    def components(self, core: base.Core) -> base.Components:
+        made = websocket.Setup.components(self, core)
         made.front = Front
-        made.pool = Answers(self.seed, core.new_conn, core.engine.at)
+        made.pool = Answers(self.seed, core.new_conn, core.engine.call_at)
         return made
--- a/rushweir/lab/scale/pure_list.py
+++ b/rushweir/lab/scale/pure_list.py
@@ -55,7 +55,7 @@
         for _ in range(CHANGES):
             one.list.message(rpc.read(text(listed[:1], "delta", next(version))))
             one.advance(float(next(times)))
-            one.orders.clear()
+            one.commands.clear()
 
     def parsed() -> list[i.Server]:
         alone = PushedList("ws://127.0.0.1:9/list", {}, 1, lambda _: 1, lambda *_: None)
@@ -66,7 +66,7 @@
         core().list.message(rpc.read(whole))
         one.list.message(rpc.read(whole))
         one.advance(float(next(times)))
-        one.orders.clear()
+        one.commands.clear()
         one.list.version = next(version) - 1
 
     by_address = {s.address: s for s in parsed()}
--- a/rushweir/lab/scale/pure_watch.py
+++ b/rushweir/lab/scale/pure_watch.py
@@ -26,7 +26,7 @@
 from rushweir.logs.decisions import Limiter
 from rushweir.logs.log import Log
 from rushweir.policy import Policy
-from rushweir.watch.watch import Watch
+from rushweir.watch.telemetry import Telemetry
 
 BACKENDS, PARTNERS = 100, 100  # of what is not looked at
 SEEN = 20_000  # requests that the partners' counts know of
@@ -42,7 +42,7 @@
     core.advance(1.0)
     rng = random.Random(1)
     for _ in range(SEEN):
-        core.watch.usage.count(1.0, f"partner{int(partners * rng.random() ** 3):05d}", "served", 1.0)
+        core.telemetry.usage.count(1.0, f"partner{int(partners * rng.random() ** 3):05d}", "served", 1.0)
     ops = Operations(core, lambda: 2_000.0, config, {"pid": 1})
     return core, ops
 
@@ -95,7 +95,7 @@
 
 def memory_by_partners(size: int) -> Iterator[Sample]:
     known = ingress(size, BACKENDS)[0].setup.partners()
-    _, memory = traced(lambda: Watch(0.0, known, {"quick": 800.0, "usual": 1_200.0}))
+    _, memory = traced(lambda: Telemetry(0.0, known, {"quick": 800.0, "usual": 1_200.0}))
     yield Sample("watch", "memory", "MB", "partners", size, memory / 1e6, "core")
 
 
--- a/rushweir/logs/log.py
+++ b/rushweir/logs/log.py
@@ -71,10 +71,10 @@
             more = {"left_out": left_out} if left_out else {}
             getattr(self.logger, level)(cause, **fields, **more)
 
-    def remark(self, remark: LogEvent) -> None:
+    def emit(self, event: LogEvent) -> None:
         # Overload tells its level, and a fault its event: under the line's own names they broke the line off.
-        fields = {f"{k}_" if k in TAKEN else k: v for k, v in remark.fields.items()}
-        self.event(remark.level, remark.cause, **fields)
+        fields = {f"{k}_" if k in TAKEN else k: v for k, v in event.fields.items()}
+        self.event(event.level, event.cause, **fields)
 
     def tell_left_out(self) -> None:
         """To be called now and then: lines left out of causes that have gone quiet."""
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -223,9 +223,10 @@
                 continue
             link.serial += 1
             link.streams[link.serial] = attempt
-            params = {**attempt.payload, "request": attempt.rid, "attempt": attempt.number,
+            params = {**attempt.payload, "request": attempt.request_id, "attempt": attempt.number,
                       "within_ms": max(0.0, attempt.until_ms - self.now)}  # fmt: skip
-            params.setdefault("key", attempt.rid)  # marks this ingress's own repeats where the client named none
+            # Marks this ingress's own repeats where the client named none.
+            params.setdefault("key", attempt.request_id)
             link.messages.send(rpc.call(attempt.method, params, link.serial))
         self._flush(link)
 
--- a/rushweir/overload/decisions.py
+++ b/rushweir/overload/decisions.py
@@ -15,14 +15,14 @@
 
 from math import log2
 
-BEAT_MS = 50.0
+SAMPLE_INTERVAL_MS = 50.0
 RISE, FALL = 0.3, 0.15  # weight of a beat in the running delay, when it came later than that, and when sooner
 REQUESTS_FROM = 0.2  # of the way from ``delay_ms`` to ``most_ms``: from here on requests are shed too
 FORGET = 0.98  # of the share of each value in what comes in, each beat
 MOST_VALUES = 1024  # values told apart: classes times plans, in any sensible settings
 
 
-class Overload:
+class LoadShedder:
     """How late turns come, and what is shed for it."""
 
     def __init__(self, delay_ms: float, most_ms: float) -> None:
@@ -33,9 +33,9 @@
         self.owed: dict[float, float] = {}  # of a value shed in part: its share so far of one request
 
     def adopt(self, delay_ms: float, most_ms: float) -> None:
-        self.limit, self.most = delay_ms, most_ms
+        self.delay_limit_ms, self.max_delay_ms = delay_ms, most_ms
 
-    def beat(self, late_ms: float) -> None:
+    def record_delay(self, late_ms: float) -> None:
         """A turn that was planned came so late."""
         late = max(0.0, late_ms)
         self.delay_ms += (RISE if late > self.delay_ms else FALL) * (late - self.delay_ms)
@@ -44,7 +44,7 @@
     @property
     def pressure(self) -> float:
         """From 0, at the limit, to 1, where nothing is taken."""
-        return min(1.0, max(0.0, (self.delay_ms - self.limit) / (self.most - self.limit)))
+        return min(1.0, max(0.0, (self.delay_ms - self.delay_limit_ms) / (self.max_delay_ms - self.delay_limit_ms)))
 
     @property
     def level(self) -> int:
@@ -52,10 +52,10 @@
         p = self.pressure
         return 0 if p <= 0 else 1 if p < REQUESTS_FROM else 2
 
-    def takes_connections(self) -> bool:
+    def admits_connections(self) -> bool:
         return self.pressure <= 0
 
-    def takes(self, value: float) -> bool:
+    def admits(self, value: float) -> bool:
         """Whether a request of this value (worth times price) is taken. Exactly the share that is to go goes,
         the cheapest of it first; of the value on the border every so many-th."""
         if value in self.asked or len(self.asked) < MOST_VALUES:
@@ -76,10 +76,10 @@
         self.owed = {value: owed - shed}  # there is one border at a time
         return not shed
 
-    def wait_ms(self) -> float:
+    def retry_after_ms(self) -> float:
         """Advice: in what time turns come in time again if nothing new makes them late, but half a beat at least.
         It is the time that the running delay takes to fall back, so it grows with the trouble."""
-        if self.delay_ms <= self.limit:
+        if self.delay_ms <= self.delay_limit_ms:
             return 0.0
-        beats = log2(self.delay_ms / self.limit) / -log2(1 - FALL)
-        return max(0.5, beats) * BEAT_MS
+        beats = log2(self.delay_ms / self.delay_limit_ms) / -log2(1 - FALL)
+        return max(0.5, beats) * SAMPLE_INTERVAL_MS
--- a/rushweir/watch/courses.py
+++ b/rushweir/watch/request_traces.py
@@ -16,10 +16,10 @@
 
 
 @dataclass(slots=True)
-class Course:
+class RequestTrace:
     """What became of one request; times in milliseconds of the ingress's clock."""
 
-    rid: str
+    request_id: str
     client_id: Any
     conn: int
     cls: str
@@ -32,17 +32,17 @@
 
     def as_row(self) -> dict[str, Any]:
         return {
-            "request": self.rid, "client_id": self.client_id, "connection": self.conn, "class": self.cls,
+            "request": self.request_id, "client_id": self.client_id, "connection": self.conn, "class": self.cls,
             "partner": self.partner, "at": self.taken_ms, "took_ms": round(self.ended_ms - self.taken_ms, 2),
             "kind": self.kind, "why": self.why, "attempts": list(self.attempts),
         }  # fmt: skip
 
 
-class Courses:
+class RequestTraces:
     """At most ``keep`` courses, half of them of requests that went wrong."""
 
     def __init__(self, sample: float, keep: int) -> None:
-        self.rings: tuple[OrderedDict[str, Course], ...] = (OrderedDict(), OrderedDict())
+        self.rings: tuple[OrderedDict[str, RequestTrace], ...] = (OrderedDict(), OrderedDict())
         self.adopt(sample, keep)
 
     def adopt(self, sample: float, keep: int) -> None:
@@ -51,22 +51,22 @@
             while len(ring) > self.most:
                 ring.popitem(last=False)
 
-    def wants(self, rid: str, kind: str, late: bool) -> int | None:
+    def wants(self, request_id: str, kind: str, late: bool) -> int | None:
         """The ring that a request belongs to: 0 where it went wrong, 1 by sample, None if it is not kept."""
         if late or kind == AnswerKind.FAILED:
             return 0
-        return 1 if crc32(rid.encode()) < self.bar else None
+        return 1 if crc32(request_id.encode()) < self.bar else None
 
-    def keep(self, ring: int, course: Course) -> None:
+    def keep(self, ring: int, course: RequestTrace) -> None:
         held = self.rings[ring]
-        held[course.rid] = course
+        held[course.request_id] = course
         if len(held) > self.most:
             held.popitem(last=False)
 
-    def find(self, rid: str) -> Course | None:
-        return self.rings[0].get(rid) or self.rings[1].get(rid)
+    def find(self, request_id: str) -> RequestTrace | None:
+        return self.rings[0].get(request_id) or self.rings[1].get(request_id)
 
-    def last(self, count: int, wrong: bool = True) -> list[Course]:
+    def last(self, count: int, wrong: bool = True) -> list[RequestTrace]:
         """The newest first."""
         ring = self.rings[0 if wrong else 1]
         return [ring[k] for k in list(reversed(ring))[:count]]
--- a/rushweir/watch/watch.py
+++ b/rushweir/watch/telemetry.py
@@ -9,8 +9,8 @@
 
 from rushweir.ingress.commands import AnswerKind, Attempt, LogEvent
 from rushweir.ingress.ledger import Entry
-from rushweir.watch.courses import Course, Courses
 from rushweir.watch.history import KINDS, History
+from rushweir.watch.request_traces import RequestTrace, RequestTraces
 from rushweir.watch.usage import Usage
 
 MOST_EVENTS = 1_000
@@ -43,19 +43,19 @@
         return sum(n for result, n in self.results.items() if result not in GOOD)
 
 
-class Watch:
+class Telemetry:
     """What is seen of one ingress. Bounded: nodes and classes by the list and the settings, the rest by rings."""
 
     def __init__(
         self, now: float, partners: Iterable[tuple[str, str]] = (), aims: dict[str, float] | None = None,
-        sample: float = 0.0, keep: int = 2, traced: Callable[[Course], None] | None = None,
+        sample: float = 0.0, keep: int = 2, on_trace: Callable[[RequestTrace], None] | None = None,
     ) -> None:  # fmt: skip
-        """``partners``: name and plan; ``aims``: of each class, in milliseconds; ``traced`` gets each course kept."""
-        self.usage, self.history, self.courses = Usage(partners, now), History(now), Courses(sample, keep)
+        """``partners``: name and plan; ``aims``: of each class, in milliseconds; ``on_trace`` gets each trace."""
+        self.usage, self.history, self.traces = Usage(partners, now), History(now), RequestTraces(sample, keep)
         self.classes: dict[str, ClassCounts] = {}
         self.nodes: dict[str, NodeCounts] = {}
         self.events: deque[dict[str, Any]] = deque(maxlen=MOST_EVENTS)
-        self.traced, self.serial = traced, 0
+        self.on_trace, self.serial = on_trace, 0
         self.know_classes(aims or {})
 
     def know_classes(self, aims: dict[str, float]) -> None:
@@ -81,11 +81,11 @@
                 counts.buckets[bisect_left(BUCKETS_MS, took)] += 1
                 counts.sum_ms += took
         late = kind == AnswerKind.SERVED and counts is not None and took > counts.aim_ms
-        ring = self.courses.wants(entry.rid, kind, late)
+        ring = self.traces.wants(entry.request_id, kind, late)
         if ring is not None:
-            entry.course = (ring, kind, why, now)
+            entry.pending_trace = (ring, kind, why, now)
 
-    def turned_down(self, now: float, partner: str, units: float, why: str) -> None:
+    def request_rejected(self, now: float, partner: str, units: float, why: str) -> None:
         """A request was refused before it was taken."""
         self.usage.count(now, partner, AnswerKind.REFUSED, units)
         self.history.answered(now, AnswerKind.REFUSED, why, 0.0)
@@ -105,7 +105,7 @@
 
     def over(self, now: float, entry: Entry) -> LogEvent | None:
         """A request whose course is kept has its last attempt back; returns the line for the log, if any."""
-        ring, kind, why, ended = entry.course
+        ring, kind, why, ended = entry.pending_trace
         attempts = tuple(
             {
                 "number": a.number, "node": a.server, "after_ms": round(a.sent_ms - entry.taken, 2),
@@ -114,18 +114,27 @@
             for a in entry.attempts
         )  # fmt: skip
         client_id = getattr(entry.ref, "id", None)
-        course = Course(
-            entry.rid, client_id, entry.conn, entry.cls, entry.customer, entry.taken, ended, kind, why, attempts
+        course = RequestTrace(
+            entry.request_id,
+            client_id,
+            entry.conn,
+            entry.cls,
+            entry.customer,
+            entry.taken,
+            ended,
+            kind,
+            why,
+            attempts,
         )
-        self.courses.keep(ring, course)
-        if self.traced is not None:
-            self.traced(course)
+        self.traces.keep(ring, course)
+        if self.on_trace is not None:
+            self.on_trace(course)
         if kind != AnswerKind.FAILED:
             return None
         return LogEvent(
             "warning", "request_failed",
             {
-                "request": entry.rid, "connection": entry.conn, "class": entry.cls, "partner": entry.customer,
+                "request": entry.request_id, "connection": entry.conn, "class": entry.cls, "partner": entry.customer,
                 "why": why, "attempts": [f"{a['number']}:{a['node']}:{a['result']}" for a in attempts],
             },
         )  # fmt: skip
--- a/rushweir/watch/heaviest.py
+++ b/rushweir/watch/top_users.py
@@ -10,7 +10,7 @@
 from heapq import nlargest
 
 
-class Heaviest:
+class TopUsers:
     """Counts of the heaviest names; ``room`` names at most."""
 
     def __init__(self, room: int) -> None:
--- a/rushweir/watch/usage.py
+++ b/rushweir/watch/usage.py
@@ -1,7 +1,7 @@
 """What each partner used: exact counts since the start, and who is heaviest lately. No I/O, no clock.
 
 The columns are arrays, so that 10,000 partners cost some 2 MB; names come from the settings and are bounded by
-them. The recent list is a sketch (heaviest.py), halved each minute: it is about the last few minutes.
+them. The recent list is a sketch (top_users.py), halved each minute: it is about the last few minutes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Any
 
 from rushweir.ingress.commands import AnswerKind
-from rushweir.watch.heaviest import Heaviest
+from rushweir.watch.top_users import TopUsers
 
 COLUMNS = ("served", "refused", "failed", "left")
 COLUMN = {AnswerKind.SERVED: 0, AnswerKind.REFUSED: 1, AnswerKind.FAILED: 2, "left": 3}
@@ -30,7 +30,7 @@
         self.plans: list[str] = []
         self.columns = [array("Q") for _ in COLUMNS]
         self.units = array("d")
-        self.heaviest, self.halved = Heaviest(SKETCH), now
+        self.top_users, self.halved = TopUsers(SKETCH), now
         self.order: list[str] | None = []  # names by their letters, case aside; None: to be sorted when needed
         self.free: list[int] = []
         self.source: object = None  # whose changes are told one by one: it need not be walked through again
@@ -90,10 +90,10 @@
             self.columns[COLUMN[kind]][k] += 1
             if kind == AnswerKind.SERVED:
                 self.units[k] += units
-        self.heaviest.add(partner)
+        self.top_users.add(partner)
         if now - self.halved >= HALVE_MS:
             self.halved = now
-            self.heaviest.halve()
+            self.top_users.halve()
 
     def row(self, name: str) -> dict[str, Any]:
         k = self.index[name]
@@ -111,6 +111,6 @@
 
     def lately(self, count: int = 10) -> Iterator[dict[str, Any]]:
         """The heaviest lately, as the sketch has them."""
-        for name, n, error in self.heaviest.top(count):
+        for name, n, error in self.top_users.top(count):
             if name in self.index:
                 yield {**self.row(name), "lately": n, "lately_error": error}
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -12,7 +12,7 @@
 from rushweir import interface as i
 from rushweir.config import ConfigError, load, load_text
 from rushweir.fronts.credentials import digest
-from rushweir.ingress.asks import Partner
+from rushweir.ingress.queries import Partner
 
 GOOD = f"""\
 ingress 1 3
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -23,7 +23,7 @@
     read_users,
 )
 from rushweir.ingress.commands import AnswerKind
-from rushweir.watch.watch import Watch
+from rushweir.watch.telemetry import Telemetry
 
 EVIL = '<script>alert("x")</script>\x1b[2J\u202e\'"&'
 
@@ -141,7 +141,7 @@
 
 
 def slots() -> list[dict[str, Any]]:
-    watch = Watch(0.0)
+    watch = Telemetry(0.0)
     for k in range(40):
         if k % 7:
             watch.history.answered(k * 10_000.0, AnswerKind.SERVED, "", 20.0 + k)
--- a/tests/daemon/test_parts.py
+++ b/tests/daemon/test_parts.py
@@ -25,7 +25,7 @@
 from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
 from rushweir.ingress.websocket import Setup
-from rushweir.watch.courses import Course
+from rushweir.watch.request_traces import RequestTrace
 
 from .conftest import SETTINGS
 
@@ -99,9 +99,9 @@
 
 def test_metrics_are_of_prometheus_form():
     made = core()
-    made.watch.classes["pay"].kinds[AnswerKind.SERVED] = 3
-    made.watch.classes["pay"].buckets[2] = 3
-    made.watch.classes["pay"].sum_ms = 60.0
+    made.telemetry.classes["pay"].kinds[AnswerKind.SERVED] = 3
+    made.telemetry.classes["pay"].buckets[2] = 3
+    made.telemetry.classes["pay"].sum_ms = 60.0
     made.engine.refusals["quota"] = 7
     found = {f.name: f for f in text_string_to_metric_families(exposition(made).decode())}
     served = {tuple(s.labels.values()): s.value for s in found["rushweir_answers"].samples}
@@ -119,7 +119,7 @@
         {"number": 0, "node": "n:1", "after_ms": 5.0, "result": "timeout", "took_ms": 20.0},
         {"number": 1, "node": "n:2", "after_ms": 30.0, "result": "ok", "took_ms": 10.0},
     )
-    tracing.course(Course("b-1", 9, 4, "pay", "hotel", 1000.0, 1040.0, AnswerKind.FAILED, "attempts", attempts))
+    tracing.course(RequestTrace("b-1", 9, 4, "pay", "hotel", 1000.0, 1040.0, AnswerKind.FAILED, "attempts", attempts))
     first, second, request = out.get_finished_spans()
     assert (request.start_time, request.end_time) == (1_000_000_000, 1_040_000_000)
     assert (first.start_time, first.end_time) == (1_005_000_000, 1_025_000_000)
@@ -136,9 +136,9 @@
         i.Server(f"10.0.0.{k}:80", "ab"[k % 2], kind="slow" if k % 10 == 0 else "std") for k in range(250)
     )
     made.engine.members(0.0, i.Scope.FULL, servers)
-    made.nodes.held = {s.address: s for s in servers}
-    made.watch.know_nodes(made.nodes.held)
-    made.watch.nodes["10.0.0.7:80"].results.update(ok=5, timeout=9)
+    made.nodes.effective = {s.address: s for s in servers}
+    made.telemetry.know_nodes(made.nodes.effective)
+    made.telemetry.nodes["10.0.0.7:80"].results.update(ok=5, timeout=9)
     ops = Operations(made, lambda: 1000.0)
     assert ops.nodes(search="SLOW")["total"] == 25
     assert ops.nodes(order="failures", count=1)["rows"][0]["address"] == "10.0.0.7:80"
--- a/tests/discovery/test_list.py
+++ b/tests/discovery/test_list.py
@@ -93,7 +93,7 @@
     assert s.update(raw=raw) == [] and s.list.version == 1
     assert s.calls() == [("list.fetch", {})]
     assert s.update(raw=raw) == [] and s.calls() == []  # asked once a while, however many come
-    assert s.list.counts["bad_updates"] == 2 and len(s.list.remarks) == 2
+    assert s.list.counts["bad_updates"] == 2 and len(s.list.log_events) == 2
     assert len(s.update(version=10)) == 1
 
 
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -63,7 +63,7 @@
         self.policy = Policy(settings, 3, self.now)
         self.core = Core(Setup(settings, **made), self.policy, self.now)
         if known is not None:
-            self.core.begin_with(self.now, self.core.list.known(known))
+            self.core.preload_nodes(self.now, self.core.list.known(known))
         self.core.start(self.now)
         self.closed, self.open = set(), set()
         self.turn()
@@ -71,8 +71,8 @@
     def turn(self):
         """Carry out orders as a shell would, without a network: note them, and what is closed."""
         found = []
-        while self.core.orders:
-            order = self.core.orders.popleft()
+        while self.core.commands:
+            order = self.core.commands.popleft()
             found.append(order)
             if isinstance(order, c.AbortConnection | c.CloseConnection) and order.conn not in self.closed:
                 self.closed.add(order.conn)
--- a/tests/edge/live.py
+++ b/tests/edge/live.py
@@ -59,7 +59,7 @@
         servers = [{"id": f"s-{k}", "addr": f"127.0.0.1:{b.port}", "zone": "a", "state": "Ready", "started_ms": 0}
                    for k, b in enumerate(self.backends)]  # fmt: skip
         page = {"version": 1, "full": True, "servers": servers}
-        self.core.begin_with(clock(), self.core.list.known(page))
+        self.core.preload_nodes(clock(), self.core.list.known(page))
         self.shell = GatedShell(self.core, clock, high_water=0, accept_at_once=16)
         self.port = await self.shell.serve("127.0.0.1", 0)
         return self
--- a/tests/edge/owed.py
+++ b/tests/edge/owed.py
@@ -38,7 +38,7 @@
         super().__init__()
         self.states = {k: (f"10.0.0.{k}", 0, "Ready") for k in range(NODES)}
         self.version = 7
-        self.edge = Edge(MADE, self.page(range(NODES), True), pool=PoolSettings(8), most_clients=6)
+        self.edge = Edge(MADE, self.page(range(NODES), True), pool=PoolSettings(8), max_clients=6)
         self.owing, self.serial = Owing(self.edge), 0
         self.halves, self.gone, self.stopped = {}, set(), False
         for _ in range(3):
@@ -149,7 +149,7 @@
             self.gone.add(conn)
             self.halves.pop(conn, None)
             self.owing.went(conn)
-            self.edge.core.engine.present = lambda k: k not in self.gone
+            self.edge.core.engine.is_connected = lambda k: k not in self.gone
 
     @stateful.precondition(lambda self: self.gone)
     @stateful.rule()
@@ -161,7 +161,8 @@
     # --- backends
 
     def waiting_dials(self):
-        return [k for k in self.owing.dials if k in self.edge.core.ups and k in self.edge.core.pool.links
+        return [k for k in self.owing.dials if k in self.edge.core.upstream_handlers
+                and k in self.edge.core.pool.links
                 and self.edge.core.pool.links[k].state == "dialing"]  # fmt: skip
 
     @stateful.precondition(lambda self: self.waiting_dials())
@@ -194,12 +195,12 @@
             self.answer_on(conn, answer(b"", "500 No"))
         else:
             self.answer_on(conn, good)
-            if kind == "twice" and conn not in self.edge.closed and conn in self.edge.core.ups:
+            if kind == "twice" and conn not in self.edge.closed and conn in self.edge.core.upstream_handlers:
                 # Some milliseconds late, when the connection may carry somebody else's request.
                 self.pass_ms(5.0)
                 self.ask(n, "position", "wide", False)
                 self.owing.over(conn, True)
-                if conn not in self.edge.closed and conn in self.edge.core.ups:
+                if conn not in self.edge.closed and conn in self.edge.core.upstream_handlers:
                     self.do(self.edge.say(conn, good))
 
     @stateful.precondition(lambda self: self.owing.ups)
@@ -211,13 +212,13 @@
         good = answer(f"for {self.owing.ups[conn]}".encode())
         data = {"half": good[: len(good) // 2], "noise": b"\x00\x01\r\n", "no length": b"HTTP/1.1 200 OK\r\n\r\nfor"}
         self.do(self.edge.say(conn, data[kind]))
-        if conn in self.edge.core.ups and conn not in self.edge.closed:
+        if conn in self.edge.core.upstream_handlers and conn not in self.edge.closed:
             self.reset_up(conn)
 
     @stateful.precondition(lambda self: self.owing.ups)
     @stateful.rule(n=st.integers(0, 9))
     def reset(self, n):
-        conn = self.pick([k for k in self.edge.core.pool.links if k in self.edge.core.ups], n)
+        conn = self.pick([k for k in self.edge.core.pool.links if k in self.edge.core.upstream_handlers], n)
         if conn is not None and self.edge.core.pool.links[conn].state != "dialing":
             self.reset_up(conn)
 
@@ -241,7 +242,7 @@
             "time": lambda: self.expire(entry, conn),
         }
         for name in [first, *(k for k in steps if k != first)]:
-            if conn not in self.edge.closed and conn in self.edge.core.ups:
+            if conn not in self.edge.closed and conn in self.edge.core.upstream_handlers:
                 steps[name]()
 
     def expire(self, entry, conn):
@@ -285,7 +286,7 @@
             self.dial_up(0)
         ups = list(self.owing.ups)
         self.pass_ms(after)
-        if ups and ups[-1] in self.owing.ups and ups[-1] in self.edge.core.ups:
+        if ups and ups[-1] in self.owing.ups and ups[-1] in self.edge.core.upstream_handlers:
             self.reset_up(ups[-1])
             self.dial_up(0)
 
@@ -310,13 +311,13 @@
         self.ask(n, "position", "wide", False)
         self.dial_up(0)
         conn = self.pick(list(self.owing.ups), -1)
-        if conn is None or conn not in self.edge.core.ups:
+        if conn is None or conn not in self.edge.core.upstream_handlers:
             return
         good = answer(f"for {self.owing.ups[conn]}".encode())
         self.answer_on(conn, good)
         for k in range(3):
             self.ask(n + k, "position", "wide", False)
-        if conn not in self.edge.closed and conn in self.edge.core.ups:
+        if conn not in self.edge.closed and conn in self.edge.core.upstream_handlers:
             self.owing.over(conn, True)
             self.do(self.edge.say(conn, good))
 
@@ -363,7 +364,7 @@
     def reload(self, other):
         old = self.edge.core.setup
         new = Setup(OTHER if other else MADE, **{f: getattr(old, f) for f in (
-            "discovery", "pool", "boot", "keep_list", "handshake_ms", "http_idle_ms", "most_clients")})  # fmt: skip
+            "discovery", "pool", "boot", "keep_list", "handshake_ms", "http_idle_ms", "max_clients")})  # fmt: skip
         self.edge.core.reload(self.edge.now, new)
         self.do(self.edge.turn())
 
@@ -372,7 +373,7 @@
     def stop(self):
         if len(self.owing.asked) > 3:  # not before there is something to end
             self.stopped = True
-            self.edge.core.leave(self.edge.now, self.edge.core.setup.settings)
+            self.edge.core.drain_clients(self.edge.now, self.edge.core.setup.settings)
             self.do(self.edge.turn())
 
     def fail_dials(self):
--- a/tests/edge/owing.py
+++ b/tests/edge/owing.py
@@ -119,12 +119,12 @@
         for a in self.asked.values():
             assert a.answers == 1 or (a.left is not None and not a.answers), f"{a.rid}: {a.answers} answers"
         core, policy = edge.core, edge.policy
-        assert not core.engine.ledger.entries and not core.engine.ledger.owed, "requests held"
-        assert not core.parts.shared.open and core.parts.shared.spoken == 0, "ids or connections held"
+        assert not core.engine.ledger.entries and not core.engine.ledger.unanswered, "requests held"
+        assert not core.components.shared.open and core.components.shared.spoken == 0, "ids or connections held"
         assert not policy.tickets, "requests held by the module"
         assert sum(policy.room.parts.used) < 1e-6, "room held"
         assert all(x.open == 0 for x in policy.quota.customers.values()), "places held"
         assert not any(s.out for s in policy.quota.kept.values()), "places held by their keeper"
         assert not core.clients.open and not core.pool.where, "connections or attempts held"
         assert not core.pool.links, "connections to backends held"  # idle ones are closed by then
-        assert len(core.ups) <= 1, "handlers held"
+        assert len(core.upstream_handlers) <= 1, "handlers held"
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -178,7 +178,13 @@
         page = {"version": 9 + n, "full": True, "servers": [{**LIST["servers"][0], "id": f"s-{n}"}]}
         edge.say(edge.core.list.conn, answer(orjson.dumps(page)))
     core = edge.core
-    held = (core.pool.nodes, core.pool.where_listed, core.nodes.held, edge.policy.fleet.servers, core.watch.nodes)
+    held = (
+        core.pool.nodes,
+        core.pool.where_listed,
+        core.nodes.effective,
+        edge.policy.fleet.servers,
+        core.telemetry.nodes,
+    )
     assert [len(h) for h in held] == [1] * 5
 
 
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -22,7 +22,7 @@
     assert 1900 < int(out.split(b"Req-Deadline-Ms: ")[1].split(b"\r\n")[0]) < 2000
     edge.say(up, answer(b"done"))
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"\r\n\r\ndone")
-    assert not edge.core.engine.ledger.entries and not edge.core.parts.shared.open
+    assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open
 
 
 BAD = {
@@ -142,7 +142,7 @@
 
 
 def test_a_full_ingress_gives_up_the_silent_for_those_who_ask():
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     busy, _ = edge.sent()
     silent = [edge.connect() for _ in range(3)]
     edge.pass_ms(100.0)
@@ -163,7 +163,7 @@
     conn, up = edge.sent()
     edge.core.ended(edge.now, conn)
     edge.say(up, answer())
-    assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.parts.shared.open
+    assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.components.shared.open
 
 
 def test_health_tells_whether_there_is_a_list():
@@ -176,7 +176,7 @@
 def test_an_ending_ingress_serves_what_comes_and_lets_clients_go(edge):
     conn, up = edge.sent()
     idle = edge.connect()
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.say(up, answer())
     assert edge.statuses(conn) == [200] and b"Connection: close" in edge.written(conn) and conn in edge.closed
@@ -190,12 +190,12 @@
 def test_ids_of_a_connection_that_broke_are_free_again(edge):
     conn, _ = edge.sent()
     edge.core.ended(edge.now, conn)
-    assert isinstance(edge.core.parts.shared, Shared) and not edge.core.parts.shared.open
+    assert isinstance(edge.core.components.shared, Shared) and not edge.core.components.shared.open
 
 
 def test_a_crowd_that_was_turned_away_leaves_the_place_to_those_who_ask():
     """Those turned away lingered above the bound, one went for each newcomer, and so all newcomers were refused."""
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     for _ in range(20):  # at once: none is old enough to go
         edge.connect()
     assert edge.core.counts["turned_away"] > 0
@@ -207,7 +207,7 @@
 
 def test_clients_that_ask_once_and_stay_do_not_shut_others_out():
     """They counted as in use for 2 s, and newcomers, each with a request, were turned away into retries (r03c8f5)."""
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     for n in range(20):
         conn, up = edge.sent(request(f"r{n}"))
         edge.say(up, answer())
@@ -234,16 +234,16 @@
         edge.say(up, answer())
         open_now.append(conn)
     assert [conn in edge.closed for conn in open_now] == [False] * 3 + [True] * 3
-    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.parts.shared.spoken == 3
+    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.components.shared.spoken == 3
     for conn in open_now:
         edge.core.ended(edge.now, conn)
-    assert edge.core.parts.shared.spoken == 0
+    assert edge.core.components.shared.spoken == 0
 
 
 def test_what_was_sent_ahead_is_answered_before_an_ending_ingress_closes(edge):
     """The answer to the first said that the connection closes, and took the second along."""
     conn, up = edge.sent(request("one") + request("two"))
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.say(up, answer(b"1"))
     edge.pass_ms(REST_MS)
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
 def test_only_a_new_connection_on_which_nothing_has_come_ends_with_no_answer(when, how):
     """From its first byte on a request is waited for, and served."""
-    edge, data = Edge(most_clients=3), booking("one")
+    edge, data = Edge(max_clients=3), booking("one")
     conn = edge.connect()
     if how != "nothing":
         edge.say(conn, part(data, how))
@@ -44,7 +44,7 @@
         for _ in range(3):
             edge.connect()
     else:
-        edge.core.leave(edge.now, edge.core.setup.settings)
+        edge.core.drain_clients(edge.now, edge.core.setup.settings)
         edge.turn()
         if when != "told to end":
             edge.core.stop(edge.now)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("quiet", [0.0, 0.5 * QUIET_MS, 0.99 * QUIET_MS])
 def test_a_connection_that_came_just_now_makes_no_room_and_the_newcomer_is_told(quiet):
-    edge = Edge(most_clients=3)
+    edge = Edge(max_clients=3)
     conns = [edge.connect() for _ in range(3)]
     edge.pass_ms(quiet)
     new = edge.connect()
@@ -74,7 +74,7 @@
 def test_whoever_comes_while_the_process_ends_is_answered(ms, quiet):
     """New connections come for up to 0.4 s, and one that came then is not closed for its quiet before 0.7 s."""
     edge = Edge()
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.pass_ms(ms)
     conn = edge.connect()
@@ -90,12 +90,12 @@
 
 
 def test_whoever_is_turned_away_too_slow_or_unreadable_gets_an_answer():
-    edge = Edge(most_clients=1)
+    edge = Edge(max_clients=1)
     edge.sent()  # under way: it does not go
     away = edge.connect()
     assert edge.statuses(away) == [503]
     edge = Edge()
-    edge.core.overload.delay_ms = 10_000.0
+    edge.core.load_shedder.delay_ms = 10_000.0
     late = edge.connect()
     edge.say(late, request())
     assert edge.statuses(late) == [503]
@@ -120,7 +120,7 @@
         p.clients += socks
         assert p.core.counts["accepted"] == 0
         await asyncio.sleep(0)  # the turn in which they are taken in
-        p.core.leave(p.shell.clock(), p.core.setup.settings)
+        p.core.drain_clients(p.shell.clock(), p.core.setup.settings)
         p.shell.carry_out()
         stopping = asyncio.create_task(p.shell.stop(3_000.0))
         statuses = [(await p.read(sock))[0] for sock in socks]
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -22,7 +22,7 @@
         half, idle = await p.client(), await p.client()
         await p.say(half, first)
         await p.until(lambda: any(k.front.partial for k in p.core.clients.open.values()))
-        p.core.leave(p.shell.clock(), p.core.setup.settings)
+        p.core.drain_clients(p.shell.clock(), p.core.setup.settings)
         p.shell.carry_out()
         assert await p.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
         stopping = asyncio.create_task(p.shell.stop(3_000.0))
@@ -66,7 +66,7 @@
         await p.say(half, last)
         assert (await p.read(half))[0] == 200
 
-    play(scenario, most_clients=2)
+    play(scenario, max_clients=2)
 
 
 def test_an_idle_time_that_ends_in_the_middle_of_a_request_ends_nothing():
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -82,7 +82,7 @@
     assert len(asked) == 1 and conn.take() == ([], False), conn.take()
     ask = asked[0][1]
     p = ask.payload
-    return asked[0][0], ask.cls, ask.within_ms, ask.units, ask.since_ms, ask.partner, p.head, p.body
+    return asked[0][0], ask.cls, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
 
 
 @pytest.mark.parametrize("name", SAFE)
@@ -199,7 +199,7 @@
         members.dialed(1.0, 1)
         members.received(2.0, 1, data[:cut])
         members.received(3.0, 1, data[cut:])
-        assert [type(u) for u in members.updates] == [Update] and not members.remarks, cut
+        assert [type(u) for u in members.updates] == [Update] and not members.log_events, cut
         got.append((members.updates[0], tuple(members.servers.values())))
     assert {u.scope for u, _ in got} == {i.Scope.FULL} and {u.version for u, _ in got} == {7}
     assert all([s.address for s in servers] == ["s-1", "s-2", "s-3"] for _, servers in got)
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -250,7 +250,7 @@
 def the_process_ends(edge):
     edge.asked("one")
     edge.up()
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.pass_ms(700.0)
     edge.core.stop(edge.now)
@@ -290,11 +290,11 @@
     edge = made(play.__name__)
     play(edge)
     edge.pass_ms(4_000.0)
-    clients = {o.conn for _, o in edge.orders(c.Write) if o.conn not in edge.core.ups} - {0}
+    clients = {o.conn for _, o in edge.orders(c.Write) if o.conn not in edge.core.upstream_handlers} - {0}
     given = [(at, o.conn) for at, o in edge.orders(c.Write) for _ in re.findall(rb"HTTP/1\.1 \d{3} ", o.data)]
     assert len(given) == len(edge.came) and clients
     assert max(at for at, _ in given) <= min(edge.came.values()) + WITHIN
-    assert not edge.core.engine.ledger.owed
+    assert not edge.core.engine.ledger.unanswered
 
 
 # --- clients that are gone ----------------------------------------------------------------------------
@@ -365,7 +365,7 @@
         edge.turn()
         edge.closed.add(conn)
     else:
-        edge.core.engine.present = lambda k: k != conn
+        edge.core.engine.is_connected = lambda k: k != conn
     if edge.dials() or edge.links():
         play(edge)
     for _ in range(20):
@@ -373,4 +373,4 @@
             edge.up(dial)
         edge.pass_ms(100.0)
     assert sum(b"Req-Id: one" in o.data for _, o in edge.orders(c.Write)) == before
-    assert not edge.core.engine.ledger.owed and not (seen == "read" and edge.statuses(conn))
+    assert not edge.core.engine.ledger.unanswered and not (seen == "read" and edge.statuses(conn))
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -136,7 +136,7 @@
     if ends and term_ms >= 0:
         agent.run(silent_at - edge.now, lambda: False)
     assert edge.core.list.calls >= 8 and not edge.core.list.counts["silent"]  # it went on until then
-    for when, what in zip(ends or [], (lambda: edge.core.leave(edge.now, edge.core.setup.settings),
+    for when, what in zip(ends or [], (lambda: edge.core.drain_clients(edge.now, edge.core.setup.settings),
                                        lambda: edge.core.stop(edge.now)), strict=False):  # fmt: skip
         agent.run(max(0.0, when - edge.now), lambda: False)
         what()
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -33,7 +33,7 @@
     edge.say(conn, page(8, {**LIST["servers"][0], "state": "Terminating"}))
     assert calls(edge, conn)[0] == b"/catalog/members"
     assert [b"since=7" in calls(edge, conn)[1], b"since=8" in calls(edge, conn)[2]] == [True, True]
-    assert edge.core.nodes.held["s-1"].state.value == "draining"
+    assert edge.core.nodes.effective["s-1"].state.value == "draining"
 
 
 BAD = {
@@ -48,10 +48,10 @@
     conn = up(edge)
     edge.say(conn, BAD[name])
     edge.pass_ms(1500.0)
-    assert sorted(edge.core.nodes.held) == ["s-1", "s-2", "s-3"] and conn in edge.closed
+    assert sorted(edge.core.nodes.effective) == ["s-1", "s-2", "s-3"] and conn in edge.closed
     assert edge.core.list.conn != conn
     edge.say(up(edge), page(10, LIST["servers"][0], full=True))
-    assert list(edge.core.nodes.held) == ["s-1"]
+    assert list(edge.core.nodes.effective) == ["s-1"]
 
 
 FIRST = LIST["servers"][0]
@@ -71,7 +71,7 @@
     edge.say(conn, answer(orjson.dumps(LIST)))
     second, third = LIST["servers"][1:]
     edge.say(conn, page(8, ODD[name], {**second, "state": "Terminating"}, *[third] * full, full=full))
-    held = {a: s.state.value for a, s in edge.core.nodes.held.items()}
+    held = {a: s.state.value for a, s in edge.core.nodes.effective.items()}
     assert held["s-2"] == "draining" and held["s-3"] == "ready" and edge.core.list.version == 8
     whose = ODD[name].get("id") if isinstance(ODD[name], dict) else None
     assert held.get("s-1") == ("draining" if whose == "s-1" else None if full else "ready")
@@ -82,11 +82,11 @@
 def test_of_two_words_on_one_backend_the_one_that_asks_for_less_holds(edge, order):
     words = [FIRST, {**FIRST, "state": "Terminating"}][::order]
     edge.say(up(edge), page(8, *words, *LIST["servers"][1:], full=True))
-    assert [edge.core.nodes.held[k].state.value for k in ("s-1", "s-2")] == ["draining", "ready"]
+    assert [edge.core.nodes.effective[k].state.value for k in ("s-1", "s-2")] == ["draining", "ready"]
 
 
 def states(edge):
-    return {a: s.state.value for a, s in edge.core.nodes.held.items()}
+    return {a: s.state.value for a, s in edge.core.nodes.effective.items()}
 
 
 def test_what_an_older_list_holds_back_is_held_back_at_once_and_what_it_lacks_soon(edge):
@@ -96,7 +96,7 @@
     began = edge.now
     edge.say(up(edge), older)
     assert states(edge) == {"s-1": "draining", "s-2": "ready", "s-3": "ready"}
-    assert edge.core.nodes.held["s-2"].online_since_ms == 9_000
+    assert edge.core.nodes.effective["s-2"].online_since_ms == 9_000
     while states(edge)["s-3"] == "ready":
         edge.pass_ms(10.0)
         if edge.core.list.state == "dialing":
@@ -217,13 +217,13 @@
         if edge.core.list.state == "dialing":
             edge.say(up(edge), page(3, LIST["servers"][0], full=True))
         edge.pass_ms(100.0)
-    assert list(edge.core.nodes.held) == ["s-1"] and edge.core.list.version == 3
+    assert list(edge.core.nodes.effective) == ["s-1"] and edge.core.list.version == 3
 
 
 def test_an_unknown_state_gets_no_new_work(edge):
     edge.say(up(edge), page(8, {**LIST["servers"][0], "state": "Odd"}, *LIST["servers"][1:], full=True))
-    assert edge.core.nodes.held["s-1"].state.value == "draining" and edge.core.list.remarks == []
-    assert edge.core.nodes.held["s-2"].state.value == "ready"
+    assert edge.core.nodes.effective["s-1"].state.value == "draining" and edge.core.list.log_events == []
+    assert edge.core.nodes.effective["s-2"].state.value == "ready"
 
 
 def test_an_agent_that_fell_silent_is_found_soon_after_the_wait(edge):
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_owed.py
@@ -95,7 +95,7 @@
     real = Engine._send
 
     def send(self, action):
-        self.present = lambda conn: True
+        self.is_connected = lambda conn: True
         real(self, action)
 
     monkeypatch.setattr(Engine, "_send", send)
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -11,7 +11,7 @@
 from rushweir import interface as i
 from rushweir.edge.backends import PoolSettings
 from rushweir.ingress import commands as c
-from rushweir.overload.decisions import BEAT_MS
+from rushweir.overload.decisions import SAMPLE_INTERVAL_MS
 from rushweir.policy.room import AIM_PART, START_RATE
 from rushweir.policy.times import MEMORY_MS
 from tests.edge.conftest import CLASSES, LIST, SETTINGS, Edge, answer, request
@@ -50,9 +50,9 @@
             self.pass_ms(10.0)
             due, self.due = [d for d in self.due if d[0] <= self.now], [d for d in self.due if d[0] > self.now]
             for _, what, conn in due:
-                if what == "up" and conn in self.core.ups:
+                if what == "up" and conn in self.core.upstream_handlers:
                     self.core.dialed(self.now, conn)
-                elif conn in self.core.ups:
+                elif conn in self.core.upstream_handlers:
                     self.core.received(self.now, conn, answer())
                 self.turn()
         moments = [began, *(t for t in self.sent_at if t >= began), end]
@@ -96,7 +96,7 @@
     edge.now += 20_000.0
     edge.core.advance(edge.now)
     edge.turn()
-    assert edge.core.overload.pressure == 1.0
+    assert edge.core.load_shedder.pressure == 1.0
     shut = edge.play(4_000.0)
     assert 500.0 < shut <= 2_000.0 + STEP_MS
 
@@ -104,19 +104,19 @@
 def test_while_turns_stay_late_all_is_turned_away_and_two_seconds_later_none():
     edge = Busy(MADE)
     for _ in range(60):
-        edge.now += 500.0 + BEAT_MS  # each turn takes half a second
+        edge.now += 500.0 + SAMPLE_INTERVAL_MS  # each turn takes half a second
         edge.core.advance(edge.now)
         edge.turn()
     edge.sent_at.clear()
     edge.ask()
-    assert edge.core.counts["turned_away"] == 1 and edge.core.overload.pressure == 1.0
+    assert edge.core.counts["turned_away"] == 1 and edge.core.load_shedder.pressure == 1.0
     assert edge.play(4_000.0) <= 1_000.0 + STEP_MS
 
 
 def test_at_its_worst_overload_takes_nothing_also_on_connections_that_are_open():
     edge = Busy(MADE)
     conn = edge.connect()
-    edge.core.overload.delay_ms = edge.core.overload.most
+    edge.core.load_shedder.delay_ms = edge.core.load_shedder.max_delay_ms
     edge.say(conn, request())
     assert edge.statuses(conn) == [503] and edge.core.engine.refusals == {"overloaded": 1}
 
@@ -136,7 +136,7 @@
     edge.stuck = {b"stuck"}
     for k in range(3):
         edge.ask(rid=f"stuck{k}")
-    assert edge.core.engine.ledger.full()
+    assert edge.core.engine.ledger.is_full()
     assert edge.play(3_000.0) <= WITHIN + STEP_MS <= ALLOWED_MS
 
 
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -13,8 +13,8 @@
 
 from rushweir.fronts.credentials import Credentials, digest, new_credential
 from rushweir.fronts.websocket import ClientConnection, FrontSettings
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.commands import Answer, AnswerKind
+from rushweir.ingress.queries import Partner
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, client_protocol
 
--- a/tests/ingress/conftest.py
+++ b/tests/ingress/conftest.py
@@ -13,8 +13,8 @@
 from rushweir import interface as i
 from rushweir.fronts.credentials import Credentials, digest
 from rushweir.fronts.websocket import FrontSettings
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.core import Core
+from rushweir.ingress.queries import Partner
 from rushweir.ingress.shell import Clock, Shell
 from rushweir.ingress.websocket import Setup
 from rushweir.lab.records import Recorder
@@ -73,7 +73,7 @@
             credentials=Credentials({digest(k): p for k, p in PARTNERS.items()}),
             list_url=f"ws://127.0.0.1:{self.list.port}/list",
             # How late turns come here is the test machine's affair, and must not shed what a test looks at.
-            **{"boot": "t", "late_ms": 1e6, "most_late_ms": 2e6, **self.more},
+            **{"boot": "t", "late_ms": 1e6, "max_late_ms": 2e6, **self.more},
         )  # fmt: skip
         policy = self.policy or Policy(self.settings, 7, clock())
         core = Core(setup, policy, clock())
@@ -82,7 +82,7 @@
         self.url = f"ws://127.0.0.1:{port}/dispatch"
         if ready is None:
             ready = sum(s.state is i.State.READY for s in self.list.servers.values())
-        await self.until(lambda: sum(s.state is i.State.READY for s in core.nodes.held.values()) >= ready)
+        await self.until(lambda: sum(s.state is i.State.READY for s in core.nodes.effective.values()) >= ready)
         if room and isinstance(policy, Policy):
             policy.room.finished.add(room * 4, core.now)  # as if that much had been finished lately
             policy.room.partition(len(policy.fleet.ready), core.now)
--- a/tests/ingress/test_end_to_end.py
+++ b/tests/ingress/test_end_to_end.py
@@ -17,7 +17,7 @@
         assert reply.result["done"]
         (arrival,) = p.arrivals()
         assert (arrival["cls"], arrival["partner"], arrival["key"]) == ("booking", "hotel", "hotel/k1")
-        assert p.core.engine.ledger.owed == 0
+        assert p.core.engine.ledger.unanswered == 0
 
     place(body)
 
@@ -48,6 +48,6 @@
         assert {kind(r) for r in client.answers} <= {"served", "refused"}
         served = sum(kind(r) == "served" for r in client.answers)
         assert served > 9000, {why(r) for r in client.answers}
-        assert p.core.engine.ledger.owed == 0
+        assert p.core.engine.ledger.unanswered == 0
 
     place(body)
--- a/tests/ingress/test_engine.py
+++ b/tests/ingress/test_engine.py
@@ -8,10 +8,10 @@
 
 from rushweir import interface as i
 from rushweir.ingress import commands as c
-from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.engine import Engine
 from rushweir.ingress.ledger import Entry, Ledger, LedgerError
-from rushweir.watch.watch import Watch
+from rushweir.ingress.queries import Partner, Query
+from rushweir.watch.telemetry import Telemetry
 
 CLASSES = (i.RequestClass("look", 800, 3000, effect=i.Effect.SAFE), i.RequestClass("pay", 800, 3000))
 SETTINGS = i.Settings(0, 1, "a", CLASSES, (i.Plan("p"),), limits=i.Limits(max_attempts=2, max_open=3, cancel=True))
@@ -38,20 +38,20 @@
 def made():
     policy = Scripted()
     policy.answers[i.Request] = lambda e: [i.Send(e.id, "n:1")]
-    engine = Engine(SETTINGS, policy, 0.0, margin_ms=25.0, boot="b-", watch=Watch(0.0))
+    engine = Engine(SETTINGS, policy, 0.0, margin_ms=25.0, boot="b-", telemetry=Telemetry(0.0))
     engine.start(0.0)
     return engine, policy
 
 
 def drain(engine) -> list:
     """What it wants done, but for the lines of the log on requests that failed."""
-    out = [x for x in engine.out if not (isinstance(x, c.LogEvent) and x.cause == "request_failed")]
-    engine.out.clear()
+    out = [x for x in engine.commands if not (isinstance(x, c.LogEvent) and x.cause == "request_failed")]
+    engine.commands.clear()
     return out
 
 
 def take(engine, now=0.0, cls="look", within=1000.0, conn=1):
-    engine.request(now, conn, "ref", WHO, Ask(cls, {"data": 1}, within))
+    engine.request(now, conn, "ref", WHO, Query(cls, {"data": 1}, within))
     return drain(engine)
 
 
@@ -62,9 +62,9 @@
     assert (send.attempt.server, send.attempt.until_ms, send.attempt.payload) == ("n:1", 970.0, {"data": 1})
     engine.outcome(40.0, send.attempt, i.Result.OK, ("result", 3), used=5, cost=2.0)
     (answer,) = drain(engine)
-    assert (answer.kind, answer.body, answer.rid) == ("served", ("result", 3), "b-1")
+    assert (answer.kind, answer.body, answer.request_id) == ("served", ("result", 3), "b-1")
     assert policy.seen[-1] == i.Outcome("b-1", 0, "n:1", i.Result.OK, 40.0, True, 5, 2.0)
-    assert not engine.ledger.entries and not engine.ledger.owed
+    assert not engine.ledger.entries and not engine.ledger.unanswered
 
 
 def test_every_action_is_carried_out(made):
@@ -109,7 +109,7 @@
 
 def test_what_cannot_be_taken_is_answered_at_once(made):
     engine, policy = made
-    for ask, why in ((Ask("nix", {}), "unknown_class"), (Ask("look", {}, 20.0), "too_late")):
+    for ask, why in ((Query("nix", {}), "unknown_class"), (Query("look", {}, 20.0), "too_late")):
         assert engine.request(0.0, 1, "r", WHO, ask) is None
         (answer,) = drain(engine)
         assert (answer.kind, answer.why) == ("refused", why)
@@ -143,7 +143,7 @@
     assert [type(x) for x in drain(engine)] == [c.LogEvent]  # a third one: two are allowed
     policy.answers[i.Outcome] = lambda e: [i.Fail(e.id)]
     engine.advance(6.0)
-    assert [x.kind for x in drain(engine)] == ["failed"] and not engine.ledger.owed
+    assert [x.kind for x in drain(engine)] == ["failed"] and not engine.ledger.unanswered
 
 
 def test_at_the_deadline_what_is_out_times_out_and_the_facts_answer_if_nobody_does(made):
@@ -219,22 +219,26 @@
     script = {"act": "nothing"}
 
     def act(e):
-        rid = getattr(e, "id", "b-1")
+        request_id = getattr(e, "id", "b-1")
         if script["act"] == "raise":
             raise RuntimeError("planted")
         return {
-            "send": [i.Send(rid, "n:1")], "send2": [i.Send(rid, "n:1"), i.Send(rid, "n:2", 50.0)],
-            "refuse": [i.Refuse(rid)], "fail": [i.Fail(rid)], "cancel": [i.Cancel(rid, 0)], "nothing": [],
+            "send": [i.Send(request_id, "n:1")],
+            "send2": [i.Send(request_id, "n:1"), i.Send(request_id, "n:2", 50.0)],
+            "refuse": [i.Refuse(request_id)],
+            "fail": [i.Fail(request_id)],
+            "cancel": [i.Cancel(request_id, 0)],
+            "nothing": [],
         }[script["act"]]  # fmt: skip
 
     policy = Scripted()
     policy.answers = {i.Request: act, i.Outcome: act, i.Gone: act}
-    engine = Engine(SETTINGS, policy, 0.0, boot="b-", watch=Watch(0.0))
+    engine = Engine(SETTINGS, policy, 0.0, boot="b-", telemetry=Telemetry(0.0))
     now, out, conn_of, answers, left = 0.0, [], {}, {}, set()
 
     def collect():
-        while engine.out:
-            x = engine.out.popleft()
+        while engine.commands:
+            x = engine.commands.popleft()
             if isinstance(x, c.SendAttempt):
                 out.append(x.attempt)
             elif isinstance(x, c.ExpireAttempt | c.CancelAttempt) and x.attempt in out:
@@ -249,7 +253,7 @@
         if what == "ask":
             serial += 1
             conn_of[serial] = k % 3
-            engine.request(now, k % 3, serial, WHO, Ask(("look", "pay")[k % 2], {}, 500.0))
+            engine.request(now, k % 3, serial, WHO, Query(("look", "pay")[k % 2], {}, 500.0))
         elif what == "outcome" and out:
             engine.outcome(now, out.pop(k % len(out)), RESULTS[k])
         elif what == "left":
@@ -270,4 +274,4 @@
     collect()
     assert all(len(found) == 1 for found in answers.values())
     assert {*answers} | left == set(conn_of) and not {*answers} & left
-    assert not engine.ledger.entries and not engine.ledger.by_conn and engine.ledger.owed == 0
+    assert not engine.ledger.entries and not engine.ledger.by_conn and engine.ledger.unanswered == 0
--- a/tests/ingress/test_hard_cases.py
+++ b/tests/ingress/test_hard_cases.py
@@ -29,7 +29,7 @@
         await p.until(p.arrivals)
         leaver.vanish()
         await p.until(lambda: p.core.engine.counts["left"] == 1)
-        assert p.core.engine.ledger.owed == 0
+        assert p.core.engine.ledger.unanswered == 0
         assert len(p.core.engine.ledger.entries) == 1  # its attempt is still out
         assert sum(p.core.engine.policy.room.parts.used) == 1.0
         await p.until(lambda: not p.core.engine.ledger.entries)  # the node has answered
@@ -86,7 +86,7 @@
         p.list.down()  # and there is no list service any more
         servers, p.list.servers = p.list.servers, {}
         await p.start(port=port)
-        assert set(p.core.nodes.held) == set(servers) and p.core.nodes.listed_at is None
+        assert set(p.core.nodes.effective) == set(servers) and p.core.nodes.updated_at is None
         again = await p.client()
         assert kind(await again.ask("position", {"data": {"work": 1}})) == "served"
         assert len(p.arrivals(cls="booking")) == 1  # nothing of the old life is sent on
@@ -106,7 +106,7 @@
         assert len(p.arrivals()) == 1
         safe = await client.ask("position", {"data": {"work": 1}, "within_ms": 500})
         assert (kind(safe), why(safe)) in (("refused", "attempts"), ("failed", "attempts"))
-        assert p.core.engine.ledger.owed == 0 and not p.core.engine.ledger.entries
+        assert p.core.engine.ledger.unanswered == 0 and not p.core.engine.ledger.entries
 
     place(body)
 
@@ -255,7 +255,7 @@
         p.shell.transports[conn].set_write_buffer_limits(high=1)
         p.core.congested(p.core.now, conn, p.front.buffer + 1)
         p.shell.carry_out()
-        assert p.core.counts["unread"] == 1 and p.core.engine.ledger.owed == 0
+        assert p.core.counts["unread"] == 1 and p.core.engine.ledger.unanswered == 0
         await p.until(lambda: conn not in p.core.clients.open, 5)
 
     place(body)
@@ -323,7 +323,7 @@
         reply = await client.ask("pay", {"data": {"work": 1}})
         assert kind(reply) == "refused" and why(reply) == "fault"  # nothing was sent: trying again is harmless
         assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
-        assert p.core.engine.faults == 1 and p.core.engine.ledger.owed == 0
+        assert p.core.engine.faults == 1 and p.core.engine.ledger.unanswered == 0
 
     place(body)
 
@@ -336,7 +336,7 @@
         await p.start()
         client = await p.client()
         assert kind(await client.ask("pay", {"data": {"work": 1}})) == "failed"  # it may have run
-        assert p.core.engine.faults == 1 and p.core.engine.ledger.owed == 0
+        assert p.core.engine.faults == 1 and p.core.engine.ledger.unanswered == 0
 
     place(body)
 
@@ -381,7 +381,7 @@
         client = await p.client()
         for _ in range(30):
             assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
-        assert p.core.engine.ledger.owed == 0
+        assert p.core.engine.ledger.unanswered == 0
         kept = p.core.engine.policy.quota.kept
         assert all(not s.out for s in kept.values())
 
--- a/tests/ingress/test_own_overload.py
+++ b/tests/ingress/test_own_overload.py
@@ -25,22 +25,22 @@
 def test_it_sheds_and_recovers(place):
     async def body(p):
         await p.nodes(1)
-        p.more = {"late_ms": 10.0, "most_late_ms": 40.0}
+        p.more = {"late_ms": 10.0, "max_late_ms": 40.0}
         await p.start()
         client = await p.client()
         hold_up(p, 60.0, 25)
-        await p.until(lambda: p.core.overload.level == 2)
-        p.core.overload.beat = lambda late: None  # held at its worst, while it is looked at
-        p.core.overload.delay_ms = 500.0
+        await p.until(lambda: p.core.load_shedder.level == 2)
+        p.core.load_shedder.record_delay = lambda late: None  # held at its worst, while it is looked at
+        p.core.load_shedder.delay_ms = 500.0
         answer = await client.ask("position", {"data": {"work": 1}})
         assert why(answer) == "overloaded" and answer.error["data"]["retry_after_ms"] > 0
         reader, writer = await asyncio.open_connection("127.0.0.1", int(p.url.split(":")[2].split("/")[0]))
         assert (await reader.read(100)).startswith(b"HTTP/1.1 503")
         writer.close()
-        del p.core.overload.beat
-        await p.until(lambda: p.core.overload.level == 0, 10)
+        del p.core.load_shedder.record_delay
+        await p.until(lambda: p.core.load_shedder.level == 0, 10)
         assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
-        levels = [e["fields"]["level"] for e in p.core.watch.events if e["cause"] == "overload"]
+        levels = [e["fields"]["level"] for e in p.core.telemetry.events if e["cause"] == "overload"]
         assert max(levels) == 2 and levels[-1] == 0
 
     place(body)
@@ -51,7 +51,7 @@
         await p.nodes(1)
         await p.start()
         hold_up(p, 60.0, 15)
-        await p.until(lambda: p.core.overload.delay_ms > 20)
+        await p.until(lambda: p.core.load_shedder.delay_ms > 20)
         assert p.core.engine.margin >= p.core.setup.margin_ms + 20
 
     place(body)
--- a/tests/ingress/test_reload.py
+++ b/tests/ingress/test_reload.py
@@ -7,7 +7,7 @@
 
 from rushweir import interface as i
 from rushweir.fronts.credentials import Credentials, digest
-from rushweir.ingress.asks import Partner
+from rushweir.ingress.queries import Partner
 from rushweir.lab.standins.client import kind
 from rushweir.lab.standins.model import NodeKind
 from rushweir.link.networks import AddressSet, network
@@ -86,8 +86,8 @@
         await p.nodes(2)
         await p.start()
         one, two = (n.address for n in p.fleet.nodes)
-        assert p.core.drain(p.shell.clock(), one)
-        assert not p.core.drain(p.shell.clock(), "127.0.0.1:1")
+        assert p.core.drain_node(p.shell.clock(), one)
+        assert not p.core.drain_node(p.shell.clock(), "127.0.0.1:1")
         carry(p)
         client = await p.client()
         for _ in range(20):
@@ -96,9 +96,11 @@
         # The list says again that it is ready: what the hand said holds.
         p.list.set(one, "ready", zone="a", online_since=p.fleet.nodes[0].online_since)
         p.list.set(two, "ready", zone="b", weight=2.0, online_since=p.fleet.nodes[1].online_since)
-        await p.until(lambda: p.core.nodes.held[two].weight == 2.0)
-        assert p.core.nodes.held[one].state is i.State.DRAINING and p.core.nodes.listed[one].state is i.State.READY
-        assert p.core.drain(p.shell.clock(), one, False)
+        await p.until(lambda: p.core.nodes.effective[two].weight == 2.0)
+        assert (
+            p.core.nodes.effective[one].state is i.State.DRAINING and p.core.nodes.listed[one].state is i.State.READY
+        )
+        assert p.core.drain_node(p.shell.clock(), one, False)
         carry(p)
         for _ in range(60):
             assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
@@ -112,12 +114,12 @@
         await p.nodes(2)
         await p.start()
         one = p.fleet.nodes[0].address
-        p.core.drain(p.shell.clock(), one)
+        p.core.drain_node(p.shell.clock(), one)
         carry(p)
         await p.until(lambda: p.shell.saver is None and p.shell.saving is None)
         await p.shell.kill()
         await p.start(room=None, ready=1)
-        assert p.core.nodes.by_hand == {one} and p.core.nodes.held[one].state is i.State.DRAINING
+        assert p.core.nodes.drained_by_hand == {one} and p.core.nodes.effective[one].state is i.State.DRAINING
 
     place(body)
 
@@ -128,10 +130,10 @@
         p.more = {"node_networks": AddressSet([network("10.0.0.0/8")])}
         await p.start(ready=0)
         await p.until(lambda: p.core.counts["strange_nodes"] == 2)
-        assert not p.core.nodes.held and len(p.core.nodes.listed) == 2
+        assert not p.core.nodes.effective and len(p.core.nodes.listed) == 2
         p.core.reload(p.shell.clock(), replace(p.core.setup, node_networks=AddressSet()))
         carry(p)
-        assert len(p.core.nodes.held) == 2
+        assert len(p.core.nodes.effective) == 2
         client = await p.client()
         assert kind(await client.ask("position", {"data": {"work": 1}})) == "served"
 
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -90,7 +90,7 @@
 def test_control_characters_and_secrets(form):
     log, _, lines = written(form)
     fields = {"partner": "a\x1b[2J\nlevel=info", "credential": "s3", "payload": {"who": "Anna"}}
-    log.remark(LogEvent("error", "bad", fields))
+    log.emit(LogEvent("error", "bad", fields))
     (line,) = lines()
     assert "\x1b" not in line and "s3" not in line and "Anna" not in line
     if form == "json":
@@ -154,6 +154,6 @@
         put = staticmethod(lines.append)
 
     log = Log(Kept(), lambda: 0.0, Limiter(2.0, 20), "json", "info")
-    log.remark(LogEvent("warning", "overload", {"level": 2, "event": "x", "delay_ms": 70}))
+    log.emit(LogEvent("warning", "overload", {"level": 2, "event": "x", "delay_ms": 70}))
     (line,) = map(json.loads, lines)
     assert (line["level"], line["level_"], line["event"], line["event_"]) == ("warning", 2, "overload", "x")
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -8,37 +8,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushweir.overload.decisions import BEAT_MS, MOST_VALUES, Overload
+from rushweir.overload.decisions import MOST_VALUES, SAMPLE_INTERVAL_MS, LoadShedder
 
 
-def late(ms: float, beats: int = 60) -> Overload:
-    made = Overload(60.0, 400.0)
+def late(ms: float, beats: int = 60) -> LoadShedder:
+    made = LoadShedder(60.0, 400.0)
     for _ in range(beats):
-        made.beat(ms)
+        made.record_delay(ms)
     return made
 
 
 def test_one_long_turn_sheds_nothing():
-    made = Overload(60.0, 400.0)
-    made.beat(150.0)
-    assert made.level == 0 and made.takes_connections() and made.takes(1.0) and made.wait_ms() == 0.0
+    made = LoadShedder(60.0, 400.0)
+    made.record_delay(150.0)
+    assert made.level == 0 and made.admits_connections() and made.admits(1.0) and made.retry_after_ms() == 0.0
 
 
 @pytest.mark.parametrize(("ms", "level"), [(0, 0), (60, 0), (100, 1), (200, 2), (400, 2), (5000, 2)])
 def test_connections_go_before_requests(ms, level):
     made = late(ms)
     assert made.level == level
-    assert made.takes_connections() is (level == 0)
-    assert made.takes(1.0) or level == 2
+    assert made.admits_connections() is (level == 0)
+    assert made.admits(1.0) or level == 2
 
 
-def shares(made: Overload, rounds: int = 400) -> Counter[float]:
+def shares(made: LoadShedder, rounds: int = 400) -> Counter[float]:
     """Of each value, how many of ``rounds`` were taken, after as many to learn what comes in."""
     for k in range(2 * rounds):
         if k == rounds:
             taken: Counter[float] = Counter()
         for value in (1.0, 2.0, 5.0):
-            got = made.takes(value)
+            got = made.admits(value)
             if k >= rounds:
                 taken[value] += got
     return taken
@@ -55,39 +55,39 @@
 
 def test_one_value_alone_is_shed_in_part():
     made = late(264.0, 400)
-    assert sum(made.takes(3.0) for _ in range(1000)) == pytest.approx(500, abs=1)
+    assert sum(made.admits(3.0) for _ in range(1000)) == pytest.approx(500, abs=1)
 
 
 def test_advice_grows_with_the_trouble_and_is_when_turns_come_in_time_again():
     made = late(240.0, 400)
-    wait = made.wait_ms()
-    assert late(400.0, 400).wait_ms() > wait > BEAT_MS
-    for _ in range(int(wait / BEAT_MS)):
+    wait = made.retry_after_ms()
+    assert late(400.0, 400).retry_after_ms() > wait > SAMPLE_INTERVAL_MS
+    for _ in range(int(wait / SAMPLE_INTERVAL_MS)):
         assert made.level > 0
-        made.beat(0.0)
-    made.beat(0.0)
+        made.record_delay(0.0)
+    made.record_delay(0.0)
     assert made.level == 0
 
 
 @given(st.lists(st.floats(0, 5000), max_size=100), st.lists(st.floats(0, 10), max_size=50))
 def test_it_always_recovers_and_equal_calls_give_equal_answers(delays, values):
-    a, b = Overload(60.0, 400.0), Overload(60.0, 400.0)
+    a, b = LoadShedder(60.0, 400.0), LoadShedder(60.0, 400.0)
     for d in delays:
-        a.beat(d)
-        b.beat(d)
-        assert [a.takes(v) for v in values] == [b.takes(v) for v in values]
+        a.record_delay(d)
+        b.record_delay(d)
+        assert [a.admits(v) for v in values] == [b.admits(v) for v in values]
         assert 0 <= a.pressure <= 1
     for _ in range(200):
-        a.beat(0.0)
-    assert a.level == 0 and all(a.takes(v) for v in values)
+        a.record_delay(0.0)
+    assert a.level == 0 and all(a.admits(v) for v in values)
     assert not a.asked or len(values)
 
 
 def test_values_are_bounded():
-    made = Overload(60.0, 400.0)
+    made = LoadShedder(60.0, 400.0)
     for k in range(MOST_VALUES * 2):
-        made.takes(float(k))
+        made.admits(float(k))
     assert len(made.asked) == MOST_VALUES
     for _ in range(300):
-        made.beat(0.0)
+        made.record_delay(0.0)
     assert not made.asked
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -17,9 +17,9 @@
 from rushweir.config.text import Spot
 from rushweir.daemon.reloading import Reloading
 from rushweir.fronts.credentials import digest
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
+from rushweir.ingress.queries import Partner
 from rushweir.rollout.ceilings import Between
 from rushweir.rollout.steps import Change
 from rushweir.watch.usage import Usage
@@ -72,7 +72,7 @@
         return self.core.clients.open[conn].front
 
     def state(self) -> tuple:
-        usage = self.core.watch.usage
+        usage = self.core.telemetry.usage
         held = self.core.setup.credentials
         rules = self.core.setup.front.costs
         return (
@@ -97,21 +97,21 @@
     g = Ingress(text_of("a", "b"))
     one, other = g.client("a"), g.client("b")
     before, front, setup = other.partner, other.settings, g.core.setup
-    g.core.watch.usage.count(0.0, "a", AnswerKind.SERVED, 2.0)
+    g.core.telemetry.usage.count(0.0, "a", AnswerKind.SERVED, 2.0)
     g.events.clear()
     changes = g.step(put("a", "new", "tin"))
     assert (one.partner.plan, other.partner) == ("tin", before) and other.partner is before
     assert other.settings is front and g.core.setup is setup
     assert not [e for e in g.events if isinstance(e, i.Settings)]
     assert [(c["path"][2], c["after"]) for c in changes] == [("plan", ["tin"]), ("credential", [key("new")])]
-    row = g.core.watch.usage.row("a")
+    row = g.core.telemetry.usage.row("a")
     assert (row["plan"], row["served"], row["units"]) == ("tin", 1, 2.0)
     assert g.client("a").partner is None and g.client("new").partner.name == "a"
 
 
 def test_a_plan_that_changes_reaches_the_policy_and_the_list_is_not_gone_through(monkeypatch):
     g = Ingress(text_of("a"))
-    monkeypatch.setattr(g.core.nodes, "put", None)  # would raise
+    monkeypatch.setattr(g.core.nodes, "publish", None)  # would raise
     g.step(Change(("plan", "gold"), b"rate 7/s\nburst 9\n"))
     (told,) = [e for e in g.events if isinstance(e, i.Settings)]
     assert told.plans[0].rate == 7.0 and g.core.setup.settings is told
@@ -119,10 +119,10 @@
 
 def test_other_networks_of_nodes_are_applied_to_the_list():
     g = Ingress(text_of("a"))
-    g.core.begin_with(0.0, live_list("127.0.0.1:1"))
-    assert g.core.nodes.held
+    g.core.preload_nodes(0.0, live_list("127.0.0.1:1"))
+    assert g.core.nodes.effective
     g.step(Change(("nodes", ""), b"allow 10.0.0.0/8\n"))
-    assert not g.core.nodes.held
+    assert not g.core.nodes.effective
 
 
 def live_list(address: str):
@@ -136,11 +136,11 @@
     one, other = g.client("a"), g.client("b")
     g.step(drop("partner", "a"))
     assert (one.leaving, other.leaving) == ("partner_gone", "")
-    assert g.client("a").partner is None and "a" not in g.core.watch.usage.index
+    assert g.client("a").partner is None and "a" not in g.core.telemetry.usage.index
     g.core.advance(g.now + 200.0)
     assert g.core.counts["partners_gone"] == 1
     g.step(put("n"))  # takes the slot that is free
-    assert g.core.watch.usage.row("n")["served"] == 0 and len(g.core.setup.credentials.names) == 2
+    assert g.core.telemetry.usage.row("n")["served"] == 0 and len(g.core.setup.credentials.names) == 2
 
 
 def test_routes_change_by_themselves():
@@ -298,9 +298,9 @@
 
         await reloading.step([Change(("plan", "gold"), b"ceiling-rate 9/s\nceiling-burst 9\n")], 4)
         await reloading.step([put("a", "n", more="through 0 2\n")], 5)
-        assert g.client("n").partner.spread == 1 and service.config.ways["a"].plan != "gold"
+        assert g.client("n").partner.gateway_count == 1 and service.config.ways["a"].plan != "gold"
         await reloading.settled(5)
-        assert g.client("n").partner.spread == 2 and not service.config.ways
+        assert g.client("n").partner.gateway_count == 2 and not service.config.ways
 
     asyncio.run(body())
     assert told == [3, 1, 1, 1, None] and g.client("y").partner.name == "b" and len(service.config.file.partners) == 4
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -72,7 +72,11 @@
             rid = f"{self.me}-{self.world.serial}"
             self.world.whose[rid] = name
             self.policy.room.finished.add(1e4, now)
-            self.act(self.policy.handle(now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.spread, p.first)))
+            self.act(
+                self.policy.handle(
+                    now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.gateway_count, p.first_gateway)
+                )
+            )
 
     def act(self, actions: list[i.Action]) -> None:
         w = self.world
@@ -256,7 +260,7 @@
     # The old door 0 goes on with its part and the keeper's; 1 has what it owns of both, 2 nothing yet.
     assert over(w.spent["a"], 40, 20) <= 1
     assert w.gateways[2].config.ways["a"].plan == CLOSED and w.gateways[1].config.ways["a"].plan.startswith(CLOSED)
-    assert w.gateways[1].core.setup.credentials.named("a").spread == 1
+    assert w.gateways[1].core.setup.credentials.named("a").gateway_count == 1
     w.gateways[0].step([partner("a", "tin", 1, 2)], 1, w.now)
     for g in w.gateways:
         g.settled(1, w.now)
--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -14,7 +14,7 @@
 from rushweir.config.compact import Costs, Partners, Place
 from rushweir.costs.routes import RouteError, Routes, rpc_route
 from rushweir.fronts.credentials import Credentials, digest
-from rushweir.ingress.asks import Partner
+from rushweir.ingress.queries import Partner
 from rushweir.watch.usage import Usage
 
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
--- a/tests/watch/test_watch.py
+++ b/tests/watch/test_watch.py
@@ -8,22 +8,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushweir.ingress.asks import Ask
 from rushweir.ingress.commands import AnswerKind, Attempt
 from rushweir.ingress.ledger import Entry
-from rushweir.watch.courses import Course, Courses
-from rushweir.watch.heaviest import Heaviest
+from rushweir.ingress.queries import Query
 from rushweir.watch.history import SLOT_MS, SLOTS, History
+from rushweir.watch.request_traces import RequestTrace, RequestTraces
+from rushweir.watch.telemetry import MOST_EVENTS, Telemetry
+from rushweir.watch.top_users import TopUsers
 from rushweir.watch.usage import HALVE_MS, Usage
-from rushweir.watch.watch import MOST_EVENTS, Watch
 
-assert Ask  # the engine is loaded first, as in the program
+assert Query  # the engine is loaded first, as in the program
 
 
 # --- the heaviest -----------------------------------------------------------------------------------
 
 
-def check(sketch: Heaviest) -> None:
+def check(sketch: TopUsers) -> None:
     """The groups hold exactly the names, and the least is the least."""
     held = {n: c for c, group in sketch.alike.items() for n in group}
     assert held == sketch.counts and all(sketch.alike.values())
@@ -33,7 +33,7 @@
 
 @given(st.lists(st.sampled_from("abcdefghij"), max_size=300), st.integers(1, 8))
 def test_counts_are_never_too_low_and_too_high_by_the_error_at_most(names, room):
-    sketch, true = Heaviest(room), Counter(names)
+    sketch, true = TopUsers(room), Counter(names)
     for n in names:
         sketch.add(n)
         check(sketch)
@@ -46,14 +46,14 @@
 
 @given(st.lists(st.one_of(st.sampled_from("abcdef"), st.none()), max_size=200))
 def test_halving_keeps_it_whole(steps):
-    sketch = Heaviest(3)
+    sketch = TopUsers(3)
     for step in steps:
         sketch.halve() if step is None else sketch.add(step)
         check(sketch)
 
 
 def test_the_heavy_ones_stay_among_many_light_ones():
-    sketch = Heaviest(20)
+    sketch = TopUsers(20)
     for k in range(20_000):
         sketch.add("heavy" if k % 4 == 0 else "second" if k % 9 == 0 else f"light{k}")
     (first, second), names = sketch.top(2), [n for n, _, _ in sketch.top(2)]
@@ -63,7 +63,7 @@
 
 def test_room_for_one_at_least():
     with pytest.raises(ValueError, match="room"):
-        Heaviest(0)
+        TopUsers(0)
 
 
 # --- usage ------------------------------------------------------------------------------------------
@@ -134,58 +134,59 @@
 # --- courses ----------------------------------------------------------------------------------------
 
 
-def course(rid, kind=AnswerKind.SERVED):
-    return Course(rid, 1, 1, "c", "p", 0.0, 1.0, kind, "", ())
+def course(request_id, kind=AnswerKind.SERVED):
+    return RequestTrace(request_id, 1, 1, "c", "p", 0.0, 1.0, kind, "", ())
 
 
 def test_failures_are_always_kept_and_the_rest_by_sample():
-    courses = Courses(0.25, 100)
+    courses = RequestTraces(0.25, 100)
     assert courses.wants("x", AnswerKind.FAILED, False) == 0 and courses.wants("x", AnswerKind.SERVED, True) == 0
     chosen = sum(courses.wants(f"b-{k:x}", AnswerKind.SERVED, False) == 1 for k in range(4000))
     assert 900 < chosen < 1100
-    assert Courses(0.0, 10).wants("x", AnswerKind.SERVED, False) is None
-    assert all(Courses(1.0, 10).wants(f"{k}", AnswerKind.REFUSED, False) == 1 for k in range(100))
+    assert RequestTraces(0.0, 10).wants("x", AnswerKind.SERVED, False) is None
+    assert all(RequestTraces(1.0, 10).wants(f"{k}", AnswerKind.REFUSED, False) == 1 for k in range(100))
 
 
 def test_rings_are_bounded_and_found_by_id():
-    courses = Courses(1.0, 10)
+    courses = RequestTraces(1.0, 10)
     for k in range(50):
         courses.keep(k % 2, course(f"{k}"))
-    assert [c.rid for c in courses.last(2)] == ["48", "46"] and [c.rid for c in courses.last(9, False)][0] == "49"
-    assert courses.find("49").rid == "49" and courses.find("0") is None
+    assert [c.request_id for c in courses.last(2)] == ["48", "46"]
+    assert [c.request_id for c in courses.last(9, False)][0] == "49"
+    assert courses.find("49").request_id == "49" and courses.find("0") is None
     courses.adopt(1.0, 2)
     assert [len(r) for r in courses.rings] == [1, 1]
 
 
-def ended(watch, rid, kind, took, *results, why=""):
-    entry = Entry(rid, 7, None, "booking", "hotel", 1.0, 0.0, 3000.0, {})
+def ended(watch, request_id, kind, took, *results, why=""):
+    entry = Entry(request_id, 7, None, "booking", "hotel", 1.0, 0.0, 3000.0, {})
     for n, result in enumerate(results):
-        attempt = Attempt(rid, n, f"n:{n}", n * 10.0, 3000.0, {}, "booking", True, result, took)
+        attempt = Attempt(request_id, n, f"n:{n}", n * 10.0, 3000.0, {}, "booking", True, result, took)
         entry.attempts.append(attempt)
         watch.attempted(took, attempt, result)
     watch.answered(took, entry, kind, why)
-    return watch.over(took, entry) if entry.course else None
+    return watch.over(took, entry) if entry.pending_trace else None
 
 
 def test_a_failure_is_logged_with_its_attempts_and_found():
     traced = []
-    watch = Watch(0.0, [("hotel", "wide")], {"booking": 100.0}, 0.0, 10, traced.append)
+    watch = Telemetry(0.0, [("hotel", "wide")], {"booking": 100.0}, 0.0, 10, traced.append)
     watch.know_nodes(["n:0"])
     remark = ended(watch, "r1", AnswerKind.FAILED, 50.0, "timeout", "conn_lost", why="attempts")
     assert remark.fields["attempts"] == ["0:n:0:timeout", "1:n:1:conn_lost"]
-    row = watch.courses.find("r1").as_row()
+    row = watch.traces.find("r1").as_row()
     assert row["took_ms"] == 50.0 and row["attempts"][1] == {
         "number": 1, "node": "n:1", "after_ms": 10.0, "result": "conn_lost", "took_ms": 40.0,
     }  # fmt: skip
-    assert [c.rid for c in traced] == ["r1"] and watch.nodes["n:0"].last_bad == "timeout"
-    assert ended(watch, "r2", AnswerKind.SERVED, 150.0, "ok") is None and watch.courses.find("r2")  # late
-    assert ended(watch, "r3", AnswerKind.SERVED, 50.0, "ok") is None and watch.courses.find("r3") is None
+    assert [c.request_id for c in traced] == ["r1"] and watch.nodes["n:0"].last_bad == "timeout"
+    assert ended(watch, "r2", AnswerKind.SERVED, 150.0, "ok") is None and watch.traces.find("r2")  # late
+    assert ended(watch, "r3", AnswerKind.SERVED, 50.0, "ok") is None and watch.traces.find("r3") is None
     counts = watch.classes["booking"]
     assert counts.kinds[AnswerKind.SERVED] == 2 and sum(counts.buckets) == 2 and counts.sum_ms == 200.0
 
 
 def test_events_are_bounded_and_numbered():
-    watch = Watch(0.0)
+    watch = Telemetry(0.0)
     for k in range(MOST_EVENTS + 10):
         watch.event(float(k), "info", "x", {})
     assert len(watch.events) == MOST_EVENTS and watch.events[-1]["number"] == MOST_EVENTS + 10
