--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -35,12 +35,12 @@
         self.clock = clock
         self.limiter = Limiter(LOG_LINES_PER_S, LOG_BURST_LINES)
 
-    def remark(self, remark: c.LogEvent) -> None:
+    def emit(self, event: c.LogEvent) -> None:
         """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
-        allowed, left_out = self.limiter.may(now, remark.cause)
+        allowed, left_out = self.limiter.may(now, event.cause)
         if allowed:
-            line = {"at": round(now), "level": remark.level, "cause": remark.cause, **remark.fields}
+            line = {"at": round(now), "level": event.level, "cause": event.cause, **event.fields}
             if left_out:
                 line["left_out"] = left_out
             sys.stderr.buffer.write(orjson.dumps(line, default=str) + b"\n")
@@ -63,18 +63,18 @@
         config, core = self.config, self.core
         listening = socket.create_server(config.listen)
         self.shell = shell = Shell(
-            core, self.clock, peers=dict(enumerate(config.peers)), remark=self.log.remark, high_water=0,
+            core, self.clock, peers=dict(enumerate(config.peers)), log=self.log.emit, high_water=0,
             accept_at_once=ACCEPTED,
         )  # fmt: skip
         if config.known_list is not None:
             try:
-                core.begin_with(self.clock(), core.list.known(config.known_list))
+                core.preload_nodes(self.clock(), core.list.known(config.known_list))
             except UpdateError as problem:
-                core.tell(self.clock(), "error", "known_list_refused", why=str(problem))
+                core.log(self.clock(), "error", "known_list_refused", why=str(problem))
         await shell.serve(*config.listen, config.peer_listen, listening=listening)
         calm_collector()
-        core.tell(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
-                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.held))  # fmt: skip
+        core.log(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
+                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
         shell.carry_out()
         if os.environ.get("EDGE_TRACE"):
             self.trace(Trace(core))
@@ -89,7 +89,7 @@
 
     def trace(self, trace: Trace) -> None:
         """Writes a trace line now and once a second."""
-        self.log.remark(c.LogEvent("debug", "trace", trace.line(self.clock())))
+        self.log.emit(c.LogEvent("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
@@ -99,23 +99,23 @@
             new = load(os.environ)
             new_setup = setup(new)
         except ValueError as problem:
-            self.core.tell(now, "error", "reload_refused", why=str(problem))
+            self.core.log(now, "error", "reload_refused", why=str(problem))
         else:
             self.config = new
             self.core.reload(now, new_setup)
-            self.core.tell(now, "info", "reloaded", discovery=new.discovery)
+            self.core.log(now, "info", "reloaded", discovery=new.discovery)
         self.shell.carry_out()
 
     async def end(self) -> None:
         """Shuts down: new clients are accepted and answered for ``ACCEPTING_S`` more, then none."""
         core, shell = self.core, self.shell
-        core.tell(self.clock(), "info", "stopping", owed=core.engine.ledger.owed)
-        core.leave(self.clock(), core.setup.settings)
+        core.log(self.clock(), "info", "stopping", owed=core.engine.ledger.unanswered)
+        core.drain_clients(self.clock(), core.setup.settings)
         shell.carry_out()
         await asyncio.sleep(ACCEPTING_S)
         longest = max(request_class.deadline_ms for request_class in core.setup.settings.classes)
         answered = await shell.stop(min(longest, PLATFORM_KILL_MS) - ANSWER_MARGIN_MS)
-        self.log.remark(c.LogEvent("info", "stopped", {"answered": answered, **core.figures()}))
+        self.log.emit(c.LogEvent("info", "stopped", {"answered": answered, **core.counts_by_component()}))
 
 
 def run(signals: Signals) -> int:
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -181,9 +181,9 @@
     held = (
         core.pool.nodes,
         core.pool.where_listed,
-        core.nodes.held,
+        core.nodes.effective,
         edge.policy.server_pool.servers,
-        core.watch.nodes,
+        core.telemetry.nodes,
     )
     assert [len(h) for h in held] == [1] * 5
 
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -22,7 +22,7 @@
         half, idle = await live.client(), await live.client()
         await live.say(half, first)
         await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
-        live.core.leave(live.shell.clock(), live.core.setup.settings)
+        live.core.drain_clients(live.shell.clock(), live.core.setup.settings)
         live.shell.carry_out()
         assert await live.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
         stopping = asyncio.create_task(live.shell.stop(3_000.0))
@@ -66,7 +66,7 @@
         await live.say(half, last)
         assert (await live.read(half))[0] == 200
 
-    run_scenario(scenario, most_clients=2)
+    run_scenario(scenario, max_clients=2)
 
 
 def test_idle_timeout_during_a_request_closes_nothing():
