--- a/benchmarks/divided_anew.py
+++ b/benchmarks/divided_anew.py
@@ -12,12 +12,12 @@
 import sys
 from statistics import median
 
-from rushweir.budgets.records import Whole, key_of
+from rushweir.budgets.records import BudgetTotal, budget_key
 from rushweir.lab.sim.spenders import Sharers
 from rushweir.lab.sim.world import World
 
 COUNT, TERM_MS, SETTLED_MS, WATCHED_MS, LOOK_MS = 12, 3_000.0, 20_000.0, 14_000.0, 20.0
-WHOLE, NAME = Whole.of(50, 100), "one"
+WHOLE, NAME = BudgetTotal.from_units(50, 100), "one"
 ENOUGH = 0.9  # of the whole
 SETTINGS = {"keep_ms": 15_000.0, "view_ms": 5_000.0, "per_s": 15.0, "apps_per_s": 12.0}
 
@@ -45,7 +45,7 @@
     def home(self) -> int:
         """The place of the home, by the view that most hold."""
         p = self.fleet.up()[-1]
-        id_ = p.core.budgets.home_of(key_of(NAME), WHOLE)
+        id_ = p.core.budgets.owner_of(budget_key(NAME), WHOLE)
         return next(k for k in range(2 * COUNT) if self._core(k) is not None and self._core(k).fleet.me == id_)
 
     def _core(self, k: int):
@@ -85,7 +85,7 @@
             if not p.stopped:
                 rate += self.fleet._part(p, NAME).rate
                 was, p.core.fleet.now = p.core.fleet.now, p.clock(self.world.now)
-                lends |= p.core.budgets.kept(p.core.fleet.now, NAME).rate > 0
+                lends |= p.core.budgets.retained_share(p.core.fleet.now, NAME).rate > 0
                 p.core.fleet.now = was
         return rate / WHOLE.rate, lends
 
--- a/benchmarks/fleet_detection.py
+++ b/benchmarks/fleet_detection.py
@@ -14,7 +14,7 @@
 from collections import deque
 from math import inf
 
-from rushweir.fleet import orders as o
+from rushweir.fleet import commands
 from rushweir.fleet.members import DEAD
 from rushweir.lab.sim.fleets import Members
 from rushweir.lab.sim.world import World
@@ -27,7 +27,7 @@
 
     def __init__(self, place, others, after_s: float) -> None:
         self.place, self.others, self.after = place, others, after_s * 1000
-        self.orders: deque = deque()
+        self.commands: deque = deque()
         self.heard = {}
         self.due = inf
         self.false = 0
@@ -43,7 +43,7 @@
     def advance(self, now: float) -> None:
         self.due = now + 1000.0
         for other in self.others:
-            self.orders.append(o.SendTo(other, b"%s:%d" % (self.place[0].encode(), self.place[1])))
+            self.commands.append(commands.SendTo(other, b"%s:%d" % (self.place[0].encode(), self.place[1])))
         for other, at in self.heard.items():
             if now - at > self.after and other not in self.dead:
                 self.dead.add(other)
@@ -56,7 +56,7 @@
             self.dead.discard(place)
             self.false += 1
 
-    def kept(self, now: float, serial: int) -> None: ...
+    def file_saved(self, now: float, serial: int) -> None: ...
 
 
 def swim(count: int, seconds: float) -> dict:
@@ -65,7 +65,9 @@
     for k in range(count):
         fleet.start(k)
     began = time.perf_counter()
-    while not (len({p.core.view.number for p in fleet.up()}) == 1 and all(p.core.number >= 0 for p in fleet.up())):
+    while not (
+        len({p.core.view.number for p in fleet.up()}) == 1 and all(p.core.assigned_slot >= 0 for p in fleet.up())
+    ):
         world.run(world.now + 1000.0)
     found = {"together_s": world.now / 1000}
     world.net.loss = LOSS
--- a/benchmarks/shared_ceilings.py
+++ b/benchmarks/shared_ceilings.py
@@ -15,7 +15,7 @@
 
 from rushweir import interface as i
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import UNIT, Part, Whole
+from rushweir.budgets.records import UNIT, BudgetTotal, Share
 from rushweir.fleet.core import Fleet
 from rushweir.lab.sim.fleets import KEY
 from rushweir.lab.sim.spenders import Bucket, Sharers, Spender
@@ -44,14 +44,14 @@
 
 def ideal(rate: float, burst: float, asked: list) -> int:
     bucket = Bucket(0.0)
-    bucket.part = Part(int(rate * UNIT), int(burst * UNIT))
+    bucket.part = Share(int(rate * UNIT), int(burst * UNIT))
     return sum(bucket.take(at, UNIT) and at >= WARM_MS for at, _ in asked)
 
 
 def even(rate: float, burst: float, asked: list) -> int:
     buckets = [Bucket(0.0) for _ in range(COUNT)]
     for b in buckets:
-        b.part = Part(int(rate * UNIT / COUNT), int(burst * UNIT / COUNT))
+        b.part = Share(int(rate * UNIT / COUNT), int(burst * UNIT / COUNT))
     return sum(buckets[k].take(at, UNIT) and at >= WARM_MS for at, k in asked)
 
 
@@ -69,8 +69,8 @@
     def __init__(self, fleet, budgets, world: World, rate: float, burst: float, served: list[int]) -> None:
         super().__init__(fleet, budgets, lambda name, amount: None)
         self.world, self.plan, self.served, self.policy = world, (rate, burst), served, None
-        self.whole, self.process, self.asked = Whole.of(rate, burst), None, 0
-        budgets.bucket = self._bucket
+        self.whole, self.process, self.asked = BudgetTotal.from_units(rate, burst), None, 0
+        budgets.bucket_state = self._bucket
 
     def _bucket(self, name: str) -> tuple[int, int]:
         quota, key = self.policy.quota if self.policy else None, crc32(name.encode())
@@ -83,19 +83,22 @@
 
     def _take(self, now: float) -> None:
         changes, self.budgets.changes = self.budgets.changes, []
-        if self.policy is None and self.fleet.seat() >= 0:
-            self.policy = Policy(settings_of(self.fleet.seat(), *self.plan, True), 1, now)
+        if self.policy is None and self.fleet.slot() >= 0:
+            self.policy = Policy(settings_of(self.fleet.slot(), *self.plan, True), 1, now)
             self._do(now, self.policy.start())
             servers = tuple(i.Server(f"10.0.0.{k}:80") for k in range(200))
             self._do(now, self.policy.handle(now, i.Members(i.Scope.FULL, servers)))
         for x in changes if self.policy else ():
-            part = i.Part(x.kept or x.name, x.part.rate / UNIT, x.part.burst / UNIT, x.add / UNIT, bool(x.kept))
+            part = i.Part(
+                x.retained_key or x.name, x.share.rate / UNIT, x.share.burst / UNIT, x.added_tokens / UNIT,
+                bool(x.retained_key),
+            )  # fmt: skip
             self._do(now, self.policy.handle(now, part))
 
     def ask(self) -> None:
         now = self.process.clock(self.world.now)
         self._turn(now)
-        self.budgets.demand(now, "one", self.whole, UNIT)
+        self.budgets.record_demand(now, "one", self.whole, UNIT)
         self._take(now)
         self.asked += 1
         if self.policy is not None:
@@ -118,12 +121,12 @@
                     end = i.Outcome(action.id, 0, action.server, i.Result.OK, 20.0, True)
                     self.world.later(20.0, self.event, end)
                 case i.Tell() if self.world.rng.random() > 0.02:
-                    self.fleet.mail()
+                    self.fleet.charge_peer_messages()
                     self.world.later(3.0, self.tell, action.to, i.PeerMessage(self.policy.s.me, action.text))
 
     def tell(self, to: int, message: i.PeerMessage) -> None:
         for p in self.world.at.values():
-            if p.up and p.core.fleet.number == to:
+            if p.up and p.core.fleet.assigned_slot == to:
                 p.core.event(message)
 
 
--- a/rushweir/budgets/home.py
+++ b/rushweir/budgets/budget_owner.py
@@ -15,11 +15,13 @@
 from dataclasses import astuple, dataclass, field, replace
 from math import inf, isqrt
 
-from rushweir.budgets.division import divide, settled, split
-from rushweir.budgets.records import NOTHING, UNIT, Part, Whole
-from rushweir.fleet.drift import longest, shortest
+from rushweir.budgets.allocation import divide, settled, split
+from rushweir.budgets.records import NO_SHARE, UNIT, BudgetTotal, Share
+from rushweir.fleet.drift import max_under_drift, min_under_drift
 
-UNKNOWN = Whole(2**62, 2**62)  # of a holder that a predecessor knew: what it was told of the whole is not handed on
+UNKNOWN = BudgetTotal(
+    2**62, 2**62
+)  # of a holder that a predecessor knew: what it was told of the whole is not handed on
 KEPT_PART = 1 / 3  # of what may be lent stays with the home, as the module keeps it at a customer's first keeper
 RESERVE_PART = 0.25  # of what may be lent is kept for the reserve to have room
 ADD_PART = 0.5  # of the reserve goes with one grant: others will ask
@@ -29,13 +31,13 @@
 @dataclass(slots=True)
 class Grant:
     serial: int
-    part: Part
+    part: Share
     until: float
 
 
 @dataclass(slots=True)
 class Holder:
-    whole: Whole  # what may be lent, as it was told last
+    whole: BudgetTotal  # what may be lent, as it was told last
     demand: int = 0
     asked_at: float = 0.0
     spilled: int = -1  # in all, as it told last; -1: not known, and what came before is nobody's any more
@@ -43,30 +45,30 @@
     grants: list[Grant] = field(default_factory=list)  # that it may be acting on, by serial
     answered: int = 0  # of its last question that was answered, or would have been
 
-    def counts(self) -> Part:
+    def counts(self) -> Share:
         """What it may be spending."""
-        whole = NOTHING
+        whole = NO_SHARE
         for g in self.grants:
             whole = whole.most(g.part)
         return whole
 
 
-class Home:
+class BudgetOwner:
     """The ledger of one budget."""
 
     def __init__(self, now: float, term_ms: float, open_at: float) -> None:
         """Nothing is lent before ``open_at``."""
-        self.whole, self.term, self.open_at = Whole(0, 0), term_ms, open_at
+        self.whole, self.term, self.open_at = BudgetTotal(0, 0), term_ms, open_at
         self.scope = self.whole  # as it was told last, with what numbers own: its doors say whose home moves where
         self.holders: dict[int, Holder] = {}
         self.reserve, self.at = 0.0, now
-        self.kept = NOTHING  # is not lent: the home's own process has it, for all
+        self.kept = NO_SHARE  # is not lent: the home's own process has it, for all
         self.division: dict[int, int] = {}
 
-    def ask(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: Whole, spilled: int = 0,
+    def request(
+        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0,
         lacks: int = 0, lasts: float = inf,
-    ) -> tuple[Part, int] | None:  # fmt: skip
+    ) -> tuple[Share, int] | None:  # fmt: skip
         """A holder's question: it acts on the grant with the serial ``holding`` or on a later one, and demands so
         much a second of a ``whole``, which is what may be lent, without floors that are owned. ``spilled`` is all
         that its bucket had no room for since it began, ``lacks`` what it has room for now; ``lasts``: ms
@@ -79,16 +81,16 @@
         if now < self.open_at:
             return None
         lent = self._lent(who)
-        part = Part(
+        part = Share(
             min(self._share(who), max(0, self.whole.rate - lent.rate)),
             min(self._burst(who), max(0, self.whole.burst - lent.burst)),
         )
         if not part.burst or not part.rate:
-            part = NOTHING
+            part = NO_SHARE
         if len(h.grants) >= MOST_GRANTS:
             first, second = h.grants[:2]
             h.grants[:2] = [Grant(second.serial, first.part.most(second.part), max(first.until, second.until))]
-        h.grants.append(Grant(serial, part, now + longest(min(lasts, self.term))))
+        h.grants.append(Grant(serial, part, now + max_under_drift(min(lasts, self.term))))
         # The reserve has room for less now; what it gives along is in the holder's bucket, and no longer here.
         self.reserve = min(self.reserve, self._room().burst)
         add = int(min(self.reserve * ADD_PART, lacks, part.burst))
@@ -96,10 +98,10 @@
         return part, add
 
     def hear(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: Whole, spilled: int = 0
+        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0
     ) -> bool:
         """What a question tells, which may be answered later; whether it may still be answered."""
-        self.settle(now)
+        self.advance(now)
         h = self.holders.setdefault(who, Holder(whole))
         if serial <= h.serial:
             return serial == h.serial and serial > h.answered
@@ -107,7 +109,7 @@
         # Settings are read anew by one process after the other: as long as any has the smaller whole, it holds.
         told = [x.whole for x in self.holders.values()]
         rate, burst = min(w.rate for w in told), min(w.burst for w in told)
-        self.kept = Part(int(rate * KEPT_PART), int(burst * KEPT_PART))
+        self.kept = Share(int(rate * KEPT_PART), int(burst * KEPT_PART))
         self.whole = replace(whole, rate=rate - self.kept.rate, burst=burst - self.kept.burst)
         h.grants = [g for g in h.grants if g.serial >= holding]
         # A sum is told, not what came since: a question that is lost, or comes twice, changes nothing.
@@ -121,23 +123,23 @@
         h = self.holders.get(who)
         return max((g.until for g in h.grants), default=now) if h is not None else now
 
-    def settle(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Let time pass: grants end, the reserve fills by what nobody holds."""
         room = self._room()
         # By a clock that may run fast, and by what was free before: a grant that ended meanwhile filled elsewhere.
-        self.reserve = min(float(room.burst), self.reserve + room.rate * shortest(now - self.at) / 1000)
+        self.reserve = min(float(room.burst), self.reserve + room.rate * min_under_drift(now - self.at) / 1000)
         self.at = now
         for who, h in list(self.holders.items()):
             h.grants = [g for g in h.grants if g.until > now]
             if not h.grants and now - h.asked_at > self.term:
                 del self.holders[who]
 
-    def _room(self) -> Part:
+    def _room(self) -> Share:
         lent = self._lent(None)
-        return Part(max(0, self.whole.rate - lent.rate), max(0, self.whole.burst - lent.burst))
+        return Share(max(0, self.whole.rate - lent.rate), max(0, self.whole.burst - lent.burst))
 
-    def _lent(self, without: int | None) -> Part:
-        whole = NOTHING
+    def _lent(self, without: int | None) -> Share:
+        whole = NO_SHARE
         for who, h in self.holders.items():
             if who != without:
                 whole += h.counts()
@@ -169,7 +171,7 @@
 
     def dump(self, now: float) -> list[list[int]]:
         """What a successor has to count, as rows: holder, serial, rate, burst, time left."""
-        self.settle(now)
+        self.advance(now)
         rows = []
         for who, h in self.holders.items():
             left = max((g.until for g in h.grants), default=now) - now
@@ -182,6 +184,6 @@
         """Go on from a predecessor's ledger, at once or after what is left of its wait."""
         for who, serial, rate, burst, left in rows:
             # Under the latest serial: whichever of the predecessor's grants it acts on, this covers it.
-            grant = Grant(serial, Part(rate, burst), now + longest(left))
+            grant = Grant(serial, Share(rate, burst), now + max_under_drift(left))
             self.holders[who] = Holder(UNKNOWN, 0, now, -1, 0, [grant] if rate or burst else [])
-        self.open_at = min(self.open_at, now + longest(wait_ms))
+        self.open_at = min(self.open_at, now + max_under_drift(wait_ms))
--- a/rushweir/budgets/core.py
+++ b/rushweir/budgets/core.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable
 from math import inf
 
-from rushweir.budgets.lending import ASK, ASK_PART, GRANT, IDLE_TERMS, LEDGER, REFUSED, TAKEN, TOPIC, Lender
-from rushweir.budgets.records import NOTHING, Held, Part, PartChanged, Whole, key_of
+from rushweir.budgets.leasing import ASK, ASK_PART, GRANT, IDLE_TERMS, LEDGER, REFUSED, TAKEN, TOPIC, Lender
+from rushweir.budgets.records import NO_SHARE, BudgetTotal, HeldLease, Share, ShareChanged, budget_key
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.drift import DRIFT, longest, shortest
+from rushweir.fleet.drift import DRIFT, max_under_drift, min_under_drift
 from rushweir.fleet.table import fitting
 from rushweir.state import Rate
 
@@ -35,103 +35,105 @@
     def __init__(self, fleet: Fleet, term_ms: float, most: int = 4096) -> None:
         """``most``: budgets known at once; beyond it a new one gets its floor only."""
         super().__init__(fleet, term_ms, most)
-        self.held: dict[int, Held] = {}
-        self.owned_at = inf  # from when on the floors of this process's number are its own ...
+        self.held_leases: dict[int, HeldLease] = {}
+        self.minimum_share_from = inf  # from when on the floors of this process's number are its own ...
         self.owning = False  # ... and whether its users were told
-        self.numbered = -1
+        self.last_slot = -1
         # Of the bucket of a budget, in thousandths, what it had no room for since it began, and what it has room for
         # now: its user knows.
-        self.bucket: Callable[[str], tuple[int, int]] = lambda name: (0, 0)
+        self.bucket_state: Callable[[str], tuple[int, int]] = lambda name: (0, 0)
         fleet.apps[TOPIC] = self._heard
 
     # --- users -----------------------------------------------------------------------------------
 
-    def demand(self, now: float, name: str, whole: Whole, amount: int) -> None:
+    def record_demand(self, now: float, name: str, whole: BudgetTotal, amount: int) -> None:
         """Somebody wants so much of a budget. Tells its part, if it was not known here."""
-        key = key_of(name)
-        h = self.held.get(key)
+        key = budget_key(name)
+        h = self.held_leases.get(key)
         if self.stopped:
             return
         if h is None:
-            if len(self.held) >= self.most:
+            if len(self.held_leases) >= self.most:
                 self.counts["too_many"] += 1
-                self.changes.append(PartChanged(name, self.floor(key, whole)))
+                self.changes.append(ShareChanged(name, self.minimum_share(key, whole)))
                 return
-            h = self.held[key] = Held(name, whole, Rate(DEMAND_MS, now), now)
-            self._tell(key, h, 0)
-        if h.whole != whole:
-            old, h.whole = h.whole, whole
+            h = self.held_leases[key] = HeldLease(name, whole, Rate(DEMAND_MS, now), now)
+            self._report_share(key, h, 0)
+        if h.total != whole:
+            old, h.total = h.total, whole
             if not old.within(whole):
-                self._give_up(now, key, h)
-            self._tell(key, h, 0)
+                self._return_lease(now, key, h)
+            self._report_share(key, h, 0)
         h.demand.add(amount, now)
         h.used_at = now
-        if h.ask_at > now + SOON_MS and self.bucket(name)[1] > h.told.burst - amount:
+        if h.ask_at > now + SOON_MS and self.bucket_state(name)[1] > h.reported_share.burst - amount:
             h.ask_at = now + SOON_MS  # too little is left for this: what the reserve has is needed now
 
-    def _give_up(self, now: float, key: int, h: Held) -> None:
+    def _return_lease(self, now: float, key: int, h: HeldLease) -> None:
         """The whole shrank: what was lent of the larger one is given back before anything is asked of the smaller,
         and answers to what was asked of the larger one come too late."""
         h.serial += 1
-        h.lease, h.taken, h.asked, h.ask_at = NOTHING, h.serial, {}, now
-        if self.home_of(key, h.whole) == self.fleet.me and key in self.homes:
+        h.share, h.taken, h.requested_at, h.ask_at = NO_SHARE, h.serial, {}, now
+        if self.owner_of(key, h.total) == self.fleet.me and key in self.owned:
             # What stays with the home shrinks in the same moment.
-            self._home(key, h.whole).hear(
-                now, self.fleet.me, h.serial, h.serial, 0, self._lendable(key, h.whole), self.bucket(h.name)[0]
+            self._owned_budget(key, h.total).hear(
+                now, self.fleet.me, h.serial, h.serial, 0, self._lendable(key, h.total), self.bucket_state(h.name)[0]
             )  # fmt: skip
             self._keep(now)
 
-    def part(self, now: float, name: str) -> Part:
+    def share(self, now: float, name: str) -> Share:
         """What may be spent now: the lease if it is not over, and the floor."""
-        h = self.held.get(key_of(name))
+        h = self.held_leases.get(budget_key(name))
         if h is None:
-            return NOTHING
-        return self.floor(key_of(name), h.whole) + (h.lease if now < h.until else NOTHING)
+            return NO_SHARE
+        return self.minimum_share(budget_key(name), h.total) + (h.share if now < h.expires_at else NO_SHARE)
 
-    def floor(self, key: int, whole: Whole) -> Part:
+    def minimum_share(self, key: int, whole: BudgetTotal) -> Share:
         """What this process owns with its number."""
-        n = self.fleet.seat() if self.fleet.now >= self.owned_at else -1
-        return self.floor_of(key, whole, n) if n >= 0 else NOTHING
+        n = self.fleet.slot() if self.fleet.now >= self.minimum_share_from else -1
+        return self.minimum_share_of(key, whole, n) if n >= 0 else NO_SHARE
 
     # --- time ------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
         self.fleet.at(TICK_MS, self._tick, None)
 
-    def turn(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Before anything is decided in a turn: rights that are over are over now, however late this turn comes."""
-        if now < self.due:
+        if now < self.next_expiry_at:
             return
-        self.due = inf
-        self.fleet.age()
-        for key, h in self.held.items():
-            if h.lease != NOTHING and now >= h.until:
-                h.lease = NOTHING
+        self.next_expiry_at = inf
+        self.fleet.view_age()
+        for key, h in self.held_leases.items():
+            if h.share != NO_SHARE and now >= h.expires_at:
+                h.share = NO_SHARE
                 self.counts["ended"] += 1
-                self._tell(key, h, 0)
-            elif h.lease != NOTHING:
-                self.due = min(self.due, h.until)
-        if self.numbered >= 0 and self.fleet.seat() < 0:
-            self._number(now)
+                self._report_share(key, h, 0)
+            elif h.share != NO_SHARE:
+                self.next_expiry_at = min(self.next_expiry_at, h.expires_at)
+        if self.last_slot >= 0 and self.fleet.slot() < 0:
+            self._on_slot_change(now)
         self._keep(now)
 
     def _tick(self, _: object) -> None:
         now = self.fleet.now
-        self.turn(now)
+        self.expire_leases(now)
         self._look(now)
         self._keep(now)
-        if self.fleet.seat() != self.numbered:
-            self._number(now)
-        if self.numbered >= 0:
-            self.due = min(self.due, self.fleet.seated_at + shortest(self.fleet.settings.keep_ms))
-            if now >= self.owned_at and not self.owning:
+        if self.fleet.slot() != self.last_slot:
+            self._on_slot_change(now)
+        if self.last_slot >= 0:
+            self.next_expiry_at = min(
+                self.next_expiry_at, self.fleet.slot_confirmed_at + min_under_drift(self.fleet.settings.keep_ms)
+            )
+            if now >= self.minimum_share_from and not self.owning:
                 self.owning = True
                 self._tell_all()
         self._send_ledgers(now)
-        for key, h in list(self.held.items()):
-            if now - h.used_at > IDLE_TERMS * self.term:
-                del self.held[key]
-                self.changes.append(PartChanged(h.name, NOTHING))
+        for key, h in list(self.held_leases.items()):
+            if now - h.used_at > IDLE_TERMS * self.lease_ms:
+                del self.held_leases[key]
+                self.changes.append(ShareChanged(h.name, NO_SHARE))
             elif now >= h.ask_at and not self.fleet.leaving:
                 self._ask(now, key, h)
         self._sweep(now)
@@ -139,82 +141,85 @@
         self._send()
         self.fleet.at(TICK_MS, self._tick, None)
 
-    def _number(self, now: float) -> None:
+    def _on_slot_change(self, now: float) -> None:
         """This process has another number, or none."""
-        self.numbered = self.fleet.seat()
-        self.owned_at, self.owning = now + longest(self.term) if self.numbered >= 0 else inf, False
+        self.last_slot = self.fleet.slot()
+        self.minimum_share_from, self.owning = (
+            now + max_under_drift(self.lease_ms) if self.last_slot >= 0 else inf,
+            False,
+        )
         self._tell_all()
 
     def _tell_all(self) -> None:
-        for key, h in self.held.items():
-            self._tell(key, h, 0)
+        for key, h in self.held_leases.items():
+            self._report_share(key, h, 0)
 
-    def _tell(self, key: int, h: Held, add: int) -> None:
+    def _report_share(self, key: int, h: HeldLease, add: int) -> None:
         """Tell the user its part, if it is another or tokens come along."""
         now = self.fleet.now
-        owned = self.floor(key, h.whole)
-        part = owned + (h.lease if now < h.until else NOTHING)
-        if part != h.told or add:
-            h.told = part
+        owned = self.minimum_share(key, h.total)
+        part = owned + (h.share if now < h.expires_at else NO_SHARE)
+        if part != h.reported_share or add:
+            h.reported_share = part
             # The fill is counted by this process's clock, which may run fast.
-            slowed = Part(int(part.rate * (1 - DRIFT)), part.burst)
-            self.changes.append(PartChanged(h.name, slowed, add, max(0.0, h.until - now), owned))
+            slowed = Share(int(part.rate * (1 - DRIFT)), part.burst)
+            self.changes.append(ShareChanged(h.name, slowed, add, max(0.0, h.expires_at - now), owned))
 
     def stop(self, now: float) -> None:
         """Nothing is spent any more, and nothing lent: the number goes back, or to a successor."""
         self.stopped = True  # a question on its way would find a ledger that knows nothing, and lend all anew
-        for key, h in self.held.items():
-            home = self.home_of(key, h.whole)
-            if h.lease != NOTHING and home not in (0, self.fleet.me):
+        for key, h in self.held_leases.items():
+            home = self.owner_of(key, h.total)
+            if h.share != NO_SHARE and home not in (0, self.fleet.me):
                 h.serial += 1  # acting on nothing: what it holds is free at once
                 self.out.setdefault(home, []).append(self._question(key, h, h.serial, 0))
-            h.lease = NOTHING
-            self.changes.append(PartChanged(h.name, NOTHING))
-        self.held.clear()
+            h.share = NO_SHARE
+            self.changes.append(ShareChanged(h.name, NO_SHARE))
+        self.held_leases.clear()
         self._keep(now)
         self.waiting.clear()
-        for key, home in self.homes.items():
-            self._hand_over(now, key, home, self.home_of(key, home.scope, self.fleet.me))
-        self.homes.clear()
+        for key, home in self.owned.items():
+            self._hand_over(now, key, home, self.owner_of(key, home.scope, self.fleet.me))
+        self.owned.clear()
         self._send_ledgers(now)
         self._send()
 
     # --- as a holder -----------------------------------------------------------------------------
 
-    def _ask(self, now: float, key: int, h: Held) -> None:
-        home = self.home_of(key, h.whole)
+    def _ask(self, now: float, key: int, h: HeldLease) -> None:
+        home = self.owner_of(key, h.total)
         demand = int(h.demand.per_s(now))
-        if not home or (not demand and h.lease == NOTHING):
+        if not home or (not demand and h.share == NO_SHARE):
             return
-        h.ask_at = now + self.term * ASK_PART
+        h.ask_at = now + self.lease_ms * ASK_PART
         h.serial += 1
-        h.asked[h.serial] = now
-        if len(h.asked) > MOST_ASKED:
-            del h.asked[next(iter(h.asked))]
+        h.requested_at[h.serial] = now
+        if len(h.requested_at) > MOST_ASKED:
+            del h.requested_at[next(iter(h.requested_at))]
         row = self._question(key, h, h.taken, demand)
         if home == self.fleet.me:
             self._asked(self.fleet.me, row)
         else:
             self.out.setdefault(home, []).append(row)
 
-    def _question(self, key: int, h: Held, holding: int, demand: int) -> list[int]:
-        w, floor = h.whole, int(h.whole.floor * 100)
-        bucket = self.bucket(h.name)
-        return [ASK, key, h.serial, holding, demand, *bucket, w.rate, w.burst, floor, w.first, w.count]
+    def _question(self, key: int, h: HeldLease, holding: int, demand: int) -> list[int]:
+        w, floor = h.total, int(h.total.minimum_share * 100)
+        bucket = self.bucket_state(h.name)
+        return [ASK, key, h.serial, holding, demand, *bucket, w.rate, w.burst, floor, w.first_slot, w.slot_count]
 
-    def _granted(self, serial: int, key: int, part: Part, add: int, lasts: int) -> None:
-        h = self.held.get(key)
-        asked = h.asked.get(serial) if h is not None else None
+    def _on_grant(self, serial: int, key: int, part: Share, add: int, lasts: int) -> None:
+        h = self.held_leases.get(key)
+        asked = h.requested_at.get(serial) if h is not None else None
         if asked is None or serial <= h.taken:
             return
-        now, before = self.fleet.now, h.lease if self.fleet.now < h.until else NOTHING
-        until = asked + min(float(lasts), shortest(self.term))
+        now, before = self.fleet.now, h.share if self.fleet.now < h.expires_at else NO_SHARE
+        until = asked + min(float(lasts), min_under_drift(self.lease_ms))
         if until <= now:
             return
-        h.lease, h.until, h.taken = part, until, serial
-        h.asked = {s: at for s, at in h.asked.items() if s > serial}
-        self.due = min(self.due, until)
-        self._tell(key, h, add)
+        h.share, h.expires_at, h.taken = part, until, serial
+        h.requested_at = {s: at for s, at in h.requested_at.items() if s > serial}
+        self.next_expiry_at = min(self.next_expiry_at, until)
+        self._report_share(key, h, add)
         if part.rate < before.rate or part.burst < before.burst:
             h.ask_at = now  # so that the home knows soon that the difference is free
 
@@ -222,7 +227,7 @@
 
     def _heard(self, who: int, body: list) -> None:
         now = self.fleet.now
-        self.turn(now)
+        self.expire_leases(now)
         self._look(now)
         for entry in body[0]:
             kind = entry[0]
@@ -235,7 +240,7 @@
             elif kind == GRANT:
                 _, key, serial, rate, burst, add, lasts = entry
                 # Whoever was asked may answer, also when it is the home no more: what it lent counts to its end.
-                self._granted(serial, key, Part(rate, burst), add, lasts)
+                self._on_grant(serial, key, Share(rate, burst), add, lasts)
             elif kind == LEDGER:
                 self._ledger(who, entry)
             elif kind == TAKEN:
--- a/rushweir/budgets/handover.py
+++ b/rushweir/budgets/handoff.py
@@ -21,7 +21,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from rushweir.budgets.records import Whole
+from rushweir.budgets.records import BudgetTotal
 from rushweir.fleet.table import fitting
 from rushweir.fleet.views import SEED_BITS, View
 
@@ -40,7 +40,7 @@
 class Given:
     """A ledger that is being handed over."""
 
-    scope: Whole  # whose doors say where its home is
+    scope: BudgetTotal  # whose doors say where its home is
     to: int
     view: int
     pages: list[list[list[int]]]
@@ -64,7 +64,7 @@
         self.took: dict[int, tuple[int, float]] = {}
 
     def give(
-        self, key: int, scope: Whole, to: int, view: int, rows: list[list[int]], wait: int, until: float
+        self, key: int, scope: BudgetTotal, to: int, view: int, rows: list[list[int]], wait: int, until: float
     ) -> bool:
         """Begin to hand a ledger over; whether there is room. ``until``: when nobody needs it any more."""
         pages = fitting(rows, ROWS_ROOM) or [[]]
@@ -105,7 +105,7 @@
         """Whether a ledger was taken for a view, or for a later one."""
         return self.took.get(key, (0, 0.0))[0] >= view
 
-    def viewed(self, old: View, new: View, home_of: Callable[[int, Whole], int]) -> None:
+    def viewed(self, old: View, new: View, home_of: Callable[[int, BudgetTotal], int]) -> None:
         """Another view holds here."""
         if not follows(new, old):
             self.given.clear()
--- a/rushweir/budgets/lending.py
+++ b/rushweir/budgets/leasing.py
@@ -10,13 +10,13 @@
 from dataclasses import replace
 from math import inf
 
-from rushweir.budgets.division import floor_of
-from rushweir.budgets.handover import HandOver, follows
-from rushweir.budgets.home import Home
-from rushweir.budgets.records import NOTHING, UNIT, Part, PartChanged, Whole, key_of
+from rushweir.budgets.allocation import floor_of
+from rushweir.budgets.budget_owner import BudgetOwner
+from rushweir.budgets.handoff import HandOver, follows
+from rushweir.budgets.records import NO_SHARE, UNIT, BudgetTotal, Share, ShareChanged, budget_key
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.drift import DRIFT, longest, shortest
-from rushweir.fleet.views import SEATED, View
+from rushweir.fleet.drift import DRIFT, max_under_drift, min_under_drift
+from rushweir.fleet.views import ACTIVE, View
 from rushweir.state import rendezvous
 
 TOPIC, MASK = 1, 0xFFFFFFFF
@@ -31,84 +31,88 @@
 
     def __init__(self, fleet: Fleet, term_ms: float, most: int) -> None:
         """``most``: budgets, and questions that wait."""
-        self.fleet, self.term, self.most = fleet, term_ms, most
-        self.homes: dict[int, Home] = {}
+        self.fleet, self.lease_ms, self.most = fleet, term_ms, most
+        self.owned: dict[int, BudgetOwner] = {}
         self.waiting: dict[tuple[int, int], tuple[float, list[int]]] = {}  # by budget and asker: since when, and what
         self.handover = HandOver(most, term_ms)
-        self.changes: list[PartChanged] = []
+        self.changes: list[ShareChanged] = []
         self.counts: Counter[str] = Counter()
         self.out: dict[int, list[list]] = {}  # entries for others, by process
-        self.due = inf  # when the next right of this process is over
+        self.next_expiry_at = inf  # when the next right of this process is over
         self.sweep_at = 0.0
         self.view = View()  # as it was looked at last: the fleet may hold another by now
         self.where: dict[tuple[int, int, int, int], int] = {}  # homes, in the view ...
         self.where_in = self.view  # ... that was held when they were looked for
-        self.opens_at = inf  # from when on this process may lend as a new home
+        self.grants_from = inf  # from when on this process may lend as a new home
         self.stopped = False
-        self.keeping: dict[int, Part] = {}  # what this process has as a home, as its user was told
+        self.retained_shares: dict[int, Share] = {}  # what this process has as a home, as its user was told
 
-    def home_of(self, key: int, whole: Whole, without: int = 0) -> int:
+    def owner_of(self, key: int, whole: BudgetTotal, without: int = 0) -> int:
         """The process that is the home of a budget in the view held here, or would be without one; 0: none."""
         if self.fleet.view is not self.where_in:
             self.where_in, self.where = self.fleet.view, {}
-        found = self.where.get((key, whole.first, whole.count, without))
+        found = self.where.get((key, whole.first_slot, whole.slot_count, without))
         if found is None:
-            seats = self.fleet.view.seats
-            here = {n for n, s in seats.items() if s.state == SEATED and s.id != without}
-            here &= set(whole.doors(self.fleet.settings.most))
+            seats = self.fleet.view.slots
+            here = {n for n, s in seats.items() if s.state == ACTIVE and s.id != without}
+            here &= set(whole.doors(self.fleet.settings.slot_count))
             found = seats[rendezvous(key & MASK, here, 1)[0]].id if here else 0
             if len(self.where) < 4 * self.most:
-                self.where[key, whole.first, whole.count, without] = found
+                self.where[key, whole.first_slot, whole.slot_count, without] = found
         return found
 
-    def floor_of(self, key: int, whole: Whole, number: int) -> Part:
-        most = self.fleet.settings.most
-        place, count = (number - whole.first) % most, whole.count or most
+    def minimum_share_of(self, key: int, whole: BudgetTotal, number: int) -> Share:
+        most = self.fleet.settings.slot_count
+        place, count = (number - whole.first_slot) % most, whole.slot_count or most
         if place >= count:
-            return NOTHING
-        rate = floor_of(key, place, count, int(whole.rate * whole.floor))
-        burst = floor_of(key, place, count, int(whole.burst * whole.floor), UNIT)
-        return Part(rate, burst) if rate and burst else NOTHING
+            return NO_SHARE
+        rate = floor_of(key, place, count, int(whole.rate * whole.minimum_share))
+        burst = floor_of(key, place, count, int(whole.burst * whole.minimum_share), UNIT)
+        return Share(rate, burst) if rate and burst else NO_SHARE
 
     def _sure(self) -> bool:
         """Whether this process's view is surely in force, or was so a moment ago."""
-        return self.fleet.view.number > 0 and self.fleet.age() < shortest(self.term)
+        return self.fleet.view.number > 0 and self.fleet.view_age() < min_under_drift(self.lease_ms)
 
     # --- what stays here -------------------------------------------------------------------------
 
     def _keep(self, now: float) -> None:
         """What this process has as a home, as long as it is surely one: told to its user where it changed."""
         sure = self._sure() and not self.stopped
-        for key in sorted(self.keeping.keys() | self.homes.keys()):
-            home = self.homes.get(key)
+        for key in sorted(self.retained_shares.keys() | self.owned.keys()):
+            home = self.owned.get(key)
             mine = sure and home is not None and now >= home.open_at
-            mine = mine and self.home_of(key, home.scope) == self.fleet.me
-            has = home.kept if mine else NOTHING
-            if has != self.keeping.get(key, NOTHING):
-                slowed = Part(int(has.rate * (1 - DRIFT)), has.burst)
-                self.changes.append(PartChanged("", slowed, 0, inf, NOTHING, key & MASK))
-                self.keeping[key] = has
-            if has == NOTHING:
-                self.keeping.pop(key, None)
-        if self.keeping:
-            self.due = min(self.due, self.fleet.sure_at + shortest(self.term))
-
-    def kept(self, now: float, name: str) -> Part:
+            mine = mine and self.owner_of(key, home.scope) == self.fleet.me
+            has = home.kept if mine else NO_SHARE
+            if has != self.retained_shares.get(key, NO_SHARE):
+                slowed = Share(int(has.rate * (1 - DRIFT)), has.burst)
+                self.changes.append(ShareChanged("", slowed, 0, inf, NO_SHARE, key & MASK))
+                self.retained_shares[key] = has
+            if has == NO_SHARE:
+                self.retained_shares.pop(key, None)
+        if self.retained_shares:
+            self.next_expiry_at = min(
+                self.next_expiry_at, self.fleet.view_confirmed_at + min_under_drift(self.lease_ms)
+            )
+
+    def retained_share(self, now: float, name: str) -> Share:
         """What may be spent now as a home."""
-        key = key_of(name)
-        return self.keeping[key] if key in self.keeping and self._sure() else NOTHING
+        key = budget_key(name)
+        return self.retained_shares[key] if key in self.retained_shares and self._sure() else NO_SHARE
 
     # --- questions -------------------------------------------------------------------------------
 
     def _wait(self, who: int, row: list[int]) -> None:
         """A question came. Of one asker and budget only the last one counts."""
         _, key, serial, holding, demand, spilled, _, rate, burst, floor, first, count = row
-        whole = Whole(rate, burst, floor / 100, first, count)
-        if self.stopped or self.home_of(key, whole) != self.fleet.me:
+        whole = BudgetTotal(rate, burst, floor / 100, first, count)
+        if self.stopped or self.owner_of(key, whole) != self.fleet.me:
             self.counts["not_home"] += 1
             return
         # What it gave back is free for others at once, also where its answer waits.
-        self._home(key, whole).hear(self.fleet.now, who, serial, holding, demand, self._lendable(key, whole), spilled)
+        self._owned_budget(key, whole).hear(
+            self.fleet.now, who, serial, holding, demand, self._lendable(key, whole), spilled
+        )
         had = self.waiting.get((key, who))
         if had is None and len(self.waiting) >= self.most:
             self.counts["not_heard"] += 1
@@ -119,14 +123,14 @@
         """Answer those questions that there is room for."""
 
         def ends(asked: tuple[int, int]) -> float:
-            home = self.homes.get(asked[0])
+            home = self.owned.get(asked[0])
             return home.ends(now, asked[1]) if home is not None else now
 
         for asked in sorted(self.waiting, key=lambda a: (ends(a), a)):
             since, row = self.waiting[asked]
             who = asked[1]
-            if who not in self.out and not (self.fleet.app_budget.has(now) and self._room() >= 1):
-                if now - since > STALE_PART * self.term:
+            if who not in self.out and not (self.fleet.app_budget.allows(now) and self._room() >= 1):
+                if now - since > STALE_PART * self.lease_ms:
                     del self.waiting[asked]
                     self.counts["not_answered"] += 1
                 continue
@@ -139,90 +143,90 @@
 
     def _asked(self, who: int, row: list) -> None:
         _, key, serial, holding, demand, spilled, lacks, rate, burst, floor, first, count = row
-        whole = Whole(rate, burst, floor / 100, first, count)
+        whole = BudgetTotal(rate, burst, floor / 100, first, count)
         now = self.fleet.now
-        if self.stopped or self.home_of(key, whole) != self.fleet.me or not self._sure():
+        if self.stopped or self.owner_of(key, whole) != self.fleet.me or not self._sure():
             self.counts["not_home"] += 1
             return
-        home = self._home(key, whole)
-        lasts = self._lasts()
-        told = home.ask(now, who, serial, holding, demand, self._lendable(key, whole), spilled, lacks, lasts)
+        home = self._owned_budget(key, whole)
+        lasts = self._grant_ms()
+        told = home.request(now, who, serial, holding, demand, self._lendable(key, whole), spilled, lacks, lasts)
         if told is None:
             return
         part, add = told
         self.counts["granted"] += 1
         if who == self.fleet.me:
-            self._granted(serial, key, part, add, lasts)
+            self._on_grant(serial, key, part, add, lasts)
         else:
             self.out.setdefault(who, []).append([GRANT, key, serial, part.rate, part.burst, add, lasts])
 
-    def _home(self, key: int, whole: Whole) -> Home:
-        home = self.homes.get(key)
+    def _owned_budget(self, key: int, whole: BudgetTotal) -> BudgetOwner:
+        home = self.owned.get(key)
         if home is None:
             # What a predecessor lent is unknown.
-            home = self.homes[key] = Home(self.fleet.now, self.term, max(self.fleet.now, self.opens_at))
+            home = self.owned[key] = BudgetOwner(self.fleet.now, self.lease_ms, max(self.fleet.now, self.grants_from))
         home.scope = whole
         return home
 
-    def _lasts(self) -> int:
+    def _grant_ms(self) -> int:
         """For how long what is granted now may be acted on, in ms from the question. No right outlasts the last sure
         moment of this view by more than a term: so long the next home waits. Both clocks may run slow by the drift,
         together: what is taken off of one term is enough for it."""
-        return int(shortest(self.term) - self.fleet.age())
+        return int(min_under_drift(self.lease_ms) - self.fleet.view_age())
 
-    def _granted(self, serial: int, key: int, part: Part, add: int, lasts: int) -> None:
+    def _on_grant(self, serial: int, key: int, part: Share, add: int, lasts: int) -> None:
         """This process's own question was answered."""
         raise NotImplementedError
 
-    def _lendable(self, key: int, whole: Whole) -> Whole:
+    def _lendable(self, key: int, whole: BudgetTotal) -> BudgetTotal:
         """The whole without the floors that numbers own; those of numbers that nobody has are lent."""
-        owned = NOTHING
-        for n in self.fleet.view.seats:
-            owned += self.floor_of(key, whole, n)
+        owned = NO_SHARE
+        for n in self.fleet.view.slots:
+            owned += self.minimum_share_of(key, whole, n)
         return replace(whole, rate=whole.rate - owned.rate, burst=whole.burst - owned.burst)
 
     def _sweep(self, now: float) -> None:
         if now < self.sweep_at:
             return
-        self.sweep_at = now + self.term
-        for key, home in list(self.homes.items()):
-            home.settle(now)
-            if not home.holders and now > home.open_at + IDLE_TERMS * self.term:
-                del self.homes[key]
+        self.sweep_at = now + self.lease_ms
+        for key, home in list(self.owned.items()):
+            home.advance(now)
+            if not home.holders and now > home.open_at + IDLE_TERMS * self.lease_ms:
+                del self.owned[key]
 
     # --- from home to home -----------------------------------------------------------------------
 
     def _look(self, now: float) -> None:
         if self.fleet.view is not self.view:
-            self._view(now)
+            self._on_view_change(now)
 
-    def _view(self, now: float) -> None:
+    def _on_view_change(self, now: float) -> None:
         """Another view holds here. What this process lent as a home goes to the next, if it was one to the end."""
         before, self.view = self.view, self.fleet.view
-        if not follows(self.view, before) and self.homes:
+        if not follows(self.view, before) and self.owned:
             # Another may have been in its place in a view between, and may lend by now.
-            self.homes.clear()
+            self.owned.clear()
             self.counts["homes_lost"] += 1
         # Whatever this process is the home of from now on, and no ledger comes for: all that was lent is over then.
-        self.opens_at = now + longest(self.term)
+        self.grants_from = now + max_under_drift(self.lease_ms)
         self._keep(now)  # before a successor begins to lend
         self.handover.viewed(before, self.view, self._next_home)
-        for key, home in list(self.homes.items()):
-            to = self.home_of(key, home.scope)
+        for key, home in list(self.owned.items()):
+            to = self.owner_of(key, home.scope)
             if to != self.fleet.me:
-                del self.homes[key]
+                del self.owned[key]
                 self._hand_over(now, key, home, to)
 
-    def _next_home(self, key: int, scope: Whole) -> int:
+    def _next_home(self, key: int, scope: BudgetTotal) -> int:
         """Where a ledger given away belongs now; 0: nowhere, or here, where it was given away."""
-        home = self.home_of(key, scope, self.fleet.me if self.stopped else 0)
+        home = self.owner_of(key, scope, self.fleet.me if self.stopped else 0)
         return home if home != self.fleet.me else 0
 
-    def _hand_over(self, now: float, key: int, home: Home, to: int) -> None:
+    def _hand_over(self, now: float, key: int, home: BudgetOwner, to: int) -> None:
         """A ledger goes to the next home, if there is one; of a home that still waited, with the rest of its wait."""
         wait = int(max(0.0, home.open_at - now)) + 1 if home.open_at > now else 0
         if to and home.open_at < inf and self.handover.give(
-            key, home.scope, to, self.fleet.view.number, home.dump(now), wait, now + self.term
+            key, home.scope, to, self.fleet.view.number, home.dump(now), wait, now + self.lease_ms
         ):  # fmt: skip
             self.counts["handed_over"] += 1
 
@@ -230,7 +234,7 @@
         """A predecessor's ledger. It is counted from now on, and lending may begin at once, or after the wait that
         the predecessor still had to go through."""
         _, key, view, page, of, wait, rows = entry
-        now, home, held = self.fleet.now, self.homes.get(key), self.fleet.view.number
+        now, home, held = self.fleet.now, self.owned.get(key), self.fleet.view.number
         if self.stopped or view > held or not isinstance(rows, list):
             return  # of a view that is not here yet: it comes again
         if view < held and not self.handover.has_taken(key, view):
@@ -239,9 +243,9 @@
         if view == held and (home is None or home.open_at > now):
             all_rows = self.handover.came(now, who, key, view, page, of, rows)
             if all_rows is not None:
-                home = home or Home(now, self.term, inf)
+                home = home or BudgetOwner(now, self.lease_ms, inf)
                 home.load(now, all_rows, wait)
-                self.homes[key] = home
+                self.owned[key] = home
                 self.counts["taken_over"] += 1
         self.out.setdefault(who, []).append([TAKEN, key, view, page])
 
@@ -253,5 +257,5 @@
     def _send_ledgers(self, now: float) -> None:
         """Before anything else that waits for room: a home without its ledger keeps all others waiting."""
         ledgers = self.handover.due(now)
-        while self.fleet.app_budget.has(now) and (due := next(ledgers, None)) is not None:
+        while self.fleet.app_budget.allows(now) and (due := next(ledgers, None)) is not None:
             self.fleet.send_app(TOPIC, due[0], [[[LEDGER, *due[1]]]])
--- a/rushweir/cli/serve.py
+++ b/rushweir/cli/serve.py
@@ -12,7 +12,7 @@
 from rushweir.daemon.handover import HandoverError, take_over
 from rushweir.daemon.lock import Held
 from rushweir.daemon.service import Service, make_log
-from rushweir.fleet.seating import KeptError
+from rushweir.fleet.view_manager import StoredViewError
 from rushweir.ingress.shell import Clock
 
 
@@ -46,7 +46,7 @@
                 rollouts = Rollouts(path, config, Clock(), log)
                 known = await rollouts.begin()
             service = Service(path, known, log, inherited, rollouts)
-        except (Held, KeptError, ConfigError, OSError) as problem:
+        except (Held, StoredViewError, ConfigError, OSError) as problem:
             click.echo(str(problem), err=True)
             return 1
         return await service.run(lambda line: print(line, flush=True))
--- a/rushweir/daemon/joining.py
+++ b/rushweir/daemon/joining.py
@@ -10,7 +10,7 @@
 
 from rushweir.config import Config
 from rushweir.files import replace_file
-from rushweir.fleet import orders as o
+from rushweir.fleet import commands
 from rushweir.fleet.core import Fleet
 from rushweir.ingress.membership import BOUNDS, FILE
 
@@ -18,7 +18,7 @@
 
 
 def member(config: Config, seed: int, now: float) -> Fleet | None:
-    """The member that the settings ask for, with what its seed kept. Raises KeptError, or OSError."""
+    """The member that the settings ask for, with what its seed kept. Raises StoredViewError, or OSError."""
     settings = config.fleet()
     if settings is None or config.peer_key is None:
         return None
@@ -64,11 +64,11 @@
             while not ending.is_set():
                 fleet.advance(self.clock())
                 self._carry_out()
-                if fleet.seat() >= 0:
-                    return fleet.number
+                if fleet.slot() >= 0:
+                    return fleet.assigned_slot
                 if self.clock() - said > WAIT_MS:
                     said = self.clock()
-                    self.note("warning", "no_number", members=fleet.members.count(), refused=fleet.refused)
+                    self.note("warning", "no_number", members=fleet.members.count(), refused=fleet.refusal_reason)
                 at = fleet.next_at()
                 timeout = None if at is None else max(0.0, at - self.clock()) / 1000
                 woken = loop.create_task(self.wake.wait())
@@ -91,24 +91,24 @@
         self.wake.set()
 
     def _carry_out(self) -> None:
-        while self.fleet.orders:
-            match self.fleet.orders.popleft():
-                case o.SendTo() as order:
+        while self.fleet.commands:
+            match self.fleet.commands.popleft():
+                case commands.SendTo() as order:
                     with contextlib.suppress(OSError):  # an address that can't be reached: as if it were lost
                         self.sock.sendto(order.data, order.address)
-                case o.KeepFile() as order:
+                case commands.SaveFile() as order:
                     task = asyncio.get_running_loop().create_task(self._keep(order))
                     self.writes.add(task)
                     task.add_done_callback(self.writes.discard)
-                case o.Note() as order:
+                case commands.LogEvent() as order:
                     self.note(order.level, order.cause, **order.fields)
 
-    async def _keep(self, order: o.KeepFile) -> None:
+    async def _keep(self, order: commands.SaveFile) -> None:
         assert self.folder is not None  # the settings of a seed name one
         try:
             await asyncio.to_thread(replace_file, self.folder / FILE, order.data)
         except OSError as problem:
             self.note("error", "view_not_kept", why=str(problem))
         else:
-            self.fleet.kept(self.clock(), order.serial)
+            self.fleet.file_saved(self.clock(), order.serial)
             self.wake.set()
--- a/rushweir/fleet/orders.py
+++ b/rushweir/fleet/commands.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class KeepFile:
+class SaveFile:
     """Write this so that it outlives a crash, then say ``kept`` with the serial; of several the last is enough."""
 
     serial: int
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Note:
+class LogEvent:
     """For the log."""
 
     level: str
@@ -34,10 +34,10 @@
 
 
 @dataclass(slots=True)
-class SeatChanged:
+class SlotChanged:
     """This process has another number now, -1: none."""
 
-    number: int
+    slot: int
 
 
 @dataclass(slots=True)
@@ -45,4 +45,4 @@
     """Another view holds here; who has which number is in ``fleet.view``."""
 
 
-Order = SendTo | KeepFile | Note | SeatChanged | ViewChanged
+Command = SendTo | SaveFile | LogEvent | SlotChanged | ViewChanged
--- a/rushweir/fleet/core.py
+++ b/rushweir/fleet/core.py
@@ -19,17 +19,17 @@
 
 import msgpack
 
+from rushweir.fleet import commands
 from rushweir.fleet import frame as f
-from rushweir.fleet import orders as o
-from rushweir.fleet.budget import Budget
-from rushweir.fleet.chair import Chair, Vote
-from rushweir.fleet.drift import longest, shortest
+from rushweir.fleet.drift import max_under_drift, min_under_drift
 from rushweir.fleet.exchange import ROWS_ROOM, Exchange
 from rushweir.fleet.handlers import HANDLERS
+from rushweir.fleet.leader_lease import LeaderLease, LeaseAcceptor
 from rushweir.fleet.members import DEAD, NAMES, SUSPECT, Member, Members
-from rushweir.fleet.seating import Seating, changed, load
+from rushweir.fleet.message_budget import MessageBudget
 from rushweir.fleet.settings import REST_MS, FleetSettings, told_times
 from rushweir.fleet.table import HEADING, MEMBER, SEAT, Table, fitting, size
+from rushweir.fleet.view_manager import ViewManager, changed, load
 from rushweir.fleet.views import LOST, SEAT_BYTES, View, seat
 
 MEMBER_BYTES, HEADING_BYTES = 96, 48
@@ -49,12 +49,12 @@
         bounds: dict[int, int] | None = None,
     ) -> None:  # fmt: skip
         """``seed``: for the number of this process and all its chances, another at each start; ``kept``: what a
-        KeepFile order wrote last; ``bounds``: bytes of each kind of entry that users of the fleet write.
-        Raises KeptError."""
+        SaveFile order wrote last; ``bounds``: bytes of each kind of entry that users of the fleet write.
+        Raises StoredViewError."""
         self.settings, self.now, self.rng = settings, now, random.Random(seed)
         self.me = self.rng.getrandbits(63) + 1
         self.frames = f.Frames(self.me, key, settings.most_entries)
-        self.orders: deque[o.Order] = deque()
+        self.commands: deque[commands.Command] = deque()
         self.counts: Counter[str] = Counter()
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self.serial = 0
@@ -62,21 +62,24 @@
         self.table = Table(kinds, settings.most_entries, lambda origin: origin in self.members.known)
         self.members, self.exchange = Members(self), Exchange(self)
         self.view, self.confirmed = View(), ()
-        self.sure_at = -inf  # the view that is held here was in force at this time or later
-        self.seated_at = -inf  # and so was one in which this process has a seat
-        self.number = -1
+        self.view_confirmed_at = -inf  # the view that is held here was in force at this time or later
+        self.slot_confirmed_at = -inf  # and so was one in which this process has a seat
+        self.assigned_slot = -1
         self.pings: OrderedDict[tuple[int, int], float] = OrderedDict()
-        self.budget, self.app_budget = Budget(settings.per_s, now), Budget(settings.apps_per_s, now)
-        self.compared = Budget(COMPARED_PER_S, now)
+        self.message_budget, self.app_budget = (
+            MessageBudget(settings.per_s, now),
+            MessageBudget(settings.apps_per_s, now),
+        )
+        self.compared = MessageBudget(COMPARED_PER_S, now)
         self.leaving = self.left = self.silent = False
         self.free_tries = 0
-        self.refused = ""  # why the chair gave no seat
+        self.refusal_reason = ""  # why the chair gave no seat
         self.apps: dict[int, Callable[[int, list], None]] = {}  # who takes messages of users, by their topic
-        self.vote: Vote | None = None
+        self.lease_acceptor: LeaseAcceptor | None = None
         if settings.voter >= 0:
-            self.vote = Vote(now, settings.chair_ms)
-            self.seating = Seating(self, load(kept) if kept else View())
-            self.chair = Chair(self, self.vote)
+            self.lease_acceptor = LeaseAcceptor(now, settings.leader_lease_ms)
+            self.view_manager = ViewManager(self, load(kept) if kept else View())
+            self.leader_lease = LeaderLease(self, self.lease_acceptor)
 
     # --- time ------------------------------------------------------------------------------------
 
@@ -86,9 +89,9 @@
         self.at(0.0, self.members.tick, now)
         self.exchange.start()
         self.at(0.0, self._look_after_seat, None)
-        if self.vote is not None:
-            self.at(0.0, self.chair.tick, None)
-            self.at(0.0, self.seating.step, None)
+        if self.lease_acceptor is not None:
+            self.at(0.0, self.leader_lease.tick, None)
+            self.at(0.0, self.view_manager.step, None)
 
     def next_at(self) -> float | None:
         return self.timers[0][0] if self.timers else None
@@ -125,7 +128,7 @@
             return
         self.members.heard_of(sender)
         m = self.members.known.get(sender)
-        if m is not None and m.state == DEAD and self.may_spend():
+        if m is not None and m.state == DEAD and self.may_send():
             self.send(f.ROWS, sender, [[self.table.row((MEMBER, sender))]])  # so that it objects
 
     def send(self, kind: int, to: int, body: list) -> None:
@@ -134,24 +137,24 @@
             self.send_to(m.address, kind, to, body)
 
     def send_to(self, address: tuple[str, int], kind: int, to: int, body: list) -> None:
-        self.budget.draw(self.now)
+        self.message_budget.spend(self.now)
         self.counts["sent"] += 1
-        self.orders.append(o.SendTo(address, self.frames.pack(kind, to, body)))
+        self.commands.append(commands.SendTo(address, self.frames.pack(kind, to, body)))
 
-    def may_spend(self) -> bool:
+    def may_send(self) -> bool:
         """Whether one datagram of what can wait may go now; asked once for each. Probes, their answers and what the
         chair needs always go, and where much is lost they use the budget up. What compares tables keeps a pace of
         its own beside them: else who lacks one entry of a view does not learn it, and its number runs out."""
-        if self.budget.has(self.now):
+        if self.message_budget.allows(self.now):
             return True
-        if not self.compared.has(self.now):
+        if not self.compared.allows(self.now):
             return False
-        self.compared.draw(self.now)
+        self.compared.spend(self.now)
         return True
 
-    def mail(self, count: int = 1) -> None:
+    def charge_peer_messages(self, count: int = 1) -> None:
         """The quotas sent so many datagrams: theirs go first, and the fleet's waiting ones have the less."""
-        self.budget.draw(self.now, count * MAIL_PART)
+        self.message_budget.spend(self.now, count * MAIL_PART)
 
     def send_app(self, topic: int, to: int, body: list) -> None:
         """A message of a user of the fleet, out of a budget of their own: members that find each other must not wait
@@ -159,16 +162,16 @@
         m = self.members.known.get(to)
         if m is None:
             return
-        if not self.app_budget.has(self.now):
+        if not self.app_budget.allows(self.now):
             self.counts["apps_held_back"] += 1
             return
-        self.app_budget.draw(self.now)
+        self.app_budget.spend(self.now)
         self.counts["apps_sent"] += 1
-        self.orders.append(o.SendTo(m.address, self.frames.pack(f.APP, to, [topic, *body])))
+        self.commands.append(commands.SendTo(m.address, self.frames.pack(f.APP, to, [topic, *body])))
 
     # --- the others ------------------------------------------------------------------------------
 
-    def ping(self, kind: int, to: int, number: int) -> None:
+    def send_probe(self, kind: int, to: int, number: int) -> None:
         self.pings[to, number] = self.now
         if len(self.pings) > MOST_PINGS:
             self.pings.popitem(last=False)
@@ -177,35 +180,36 @@
         self.send(kind, to, [number, *self.beacon(), [own, *self.told(to, TOLD_ROOM - size(own))]])
 
     def told(self, to: int, room: int = TOLD_ROOM) -> list:
-        times = told_times(self.settings.most)
+        times = told_times(self.settings.slot_count)
         m = self.members.known.get(to)
         return self.table.take(room, times, (MEMBER, to) if m is not None and m.state == SUSPECT else None)
 
     def beacon(self) -> list[int]:
         """The view that holds here, and for how long it is not sure to be in force."""
-        age = self.age()
+        age = self.view_age()
         return [self.view.number, -1 if age == inf else ceil(age)]
 
-    def age(self) -> float:
-        if self.in_chair():
-            self.sure_at = self.now
-        return self.now - self.sure_at
+    def view_age(self) -> float:
+        if self.is_leader():
+            self.view_confirmed_at = self.now
+        return self.now - self.view_confirmed_at
 
-    def in_chair(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether the view that holds here is this process's own, and it may decide now."""
         return (
-            self.vote is not None and self.chair.holds() and self.seating.state in ("open", "putting")
-            and self.view.number > 0 and self.made == self.seating.ballot
+            self.lease_acceptor is not None and self.leader_lease.is_held()
+            and self.view_manager.state in ("open", "putting")
+            and self.view.number > 0 and self.made == self.view_manager.ballot
         )  # fmt: skip
 
     made = 0  # by which ballot of this process the view that holds was put
 
-    def learn_age(self, sender: int, number: int, view: int, age: int) -> None:
+    def learn_view_age(self, sender: int, number: int, view: int, age: int) -> None:
         """A probe was answered: what the answer says of the view held for a time that is counted from the probe."""
         asked = self.pings.pop((sender, number), None)
         if asked is not None and age >= 0 and view == self.view.number:
-            self.sure_at = max(self.sure_at, asked - longest(age))
-            self._seated()
+            self.view_confirmed_at = max(self.view_confirmed_at, asked - max_under_drift(age))
+            self._update_slot()
 
     def merge(self, rows: Any) -> None:
         """Entries that came with any message."""
@@ -231,7 +235,7 @@
             self.note("info", f"member_{NAMES[new.state]}", address=f"{host}:{port}", zone=new.zone)
 
     def note(self, level: str, cause: str, **fields: Any) -> None:
-        self.orders.append(o.Note(level, cause, fields))
+        self.commands.append(commands.LogEvent(level, cause, fields))
 
     # --- entries of users ------------------------------------------------------------------------
 
@@ -247,17 +251,17 @@
         return [m for m in found if m is not None]
 
     def keep(self, serial: int, data: bytes) -> None:
-        self.orders.append(o.KeepFile(serial, data))
+        self.commands.append(commands.SaveFile(serial, data))
 
-    def kept(self, now: float, serial: int) -> None:
-        """A KeepFile order was carried out."""
+    def file_saved(self, now: float, serial: int) -> None:
+        """A SaveFile order was carried out."""
         self.now = now
-        self.seating.was_kept(serial)
+        self.view_manager.was_kept(serial)
 
     def in_force(self, view: View, seeds: list[int]) -> None:
         """This process, in the chair, made a view, and a majority of the seeds keeps it: tell everybody."""
-        for n in sorted(view.seats.keys() | self.view.seats.keys() | self.table.of(SEAT).keys()):
-            data = view.seats[n].pack() if n in view.seats else b""
+        for n in sorted(view.slots.keys() | self.view.slots.keys() | self.table.entries_of(SEAT).keys()):
+            data = view.slots[n].pack() if n in view.slots else b""
             had = self.table.get(SEAT, n)
             if (had is None and data) or (had is not None and had[1] != data):
                 self.table.put(SEAT, n, view.number, data)
@@ -271,7 +275,7 @@
             for m in others:
                 for portion in portions:
                     self.send(f.ROWS, m.id, [portion])
-        self.made = self.seating.ballot
+        self.made = self.view_manager.ballot
         self._adopt()
 
     def _adopt(self) -> None:
@@ -280,47 +284,49 @@
         if heading is None or heading[0] <= self.view.number:
             return
         digest, _, bits = msgpack.unpackb(heading[1])
-        found = {n: seat(data) for n, (_, data) in self.table.of(SEAT).items()}
+        found = {n: seat(data) for n, (_, data) in self.table.entries_of(SEAT).items()}
         view = View(heading[0], {n: s for n, s in found.items() if s is not None})
         if view.digest() != digest:
             return
-        self.view, self.sure_at = view, -inf
+        self.view, self.view_confirmed_at = view, -inf
         self.confirmed = tuple(k for k in range(len(self.settings.seeds)) if bits >> k & 1)
-        if self.in_chair():
-            self.sure_at = self.now
+        if self.is_leader():
+            self.view_confirmed_at = self.now
         self.counts["views"] += 1
-        self.orders.append(o.ViewChanged())
-        self._seated()
+        self.commands.append(commands.ViewChanged())
+        self._update_slot()
 
-    def _seated(self) -> None:
+    def _update_slot(self) -> None:
         """Note when a view in force surely had a seat of this process, and which."""
         n = self.view.number_of(self.me)
-        if n >= 0 and self.view.seats[n].state != LOST:
-            self.seated_at = max(self.seated_at, self.sure_at)
-            if n != self.number:
-                self.number = n
-                self.refused = ""
-                self.orders.append(o.SeatChanged(n))
-        elif self.number >= 0 and (n < 0 or n != self.number):
+        if n >= 0 and self.view.slots[n].state != LOST:
+            self.slot_confirmed_at = max(self.slot_confirmed_at, self.view_confirmed_at)
+            if n != self.assigned_slot:
+                self.assigned_slot = n
+                self.refusal_reason = ""
+                self.commands.append(commands.SlotChanged(n))
+        elif self.assigned_slot >= 0 and (n < 0 or n != self.assigned_slot):
             # Another has it, or it was given back.
-            self.number, self.seated_at = -1, -inf
-            self.orders.append(o.SeatChanged(-1))
+            self.assigned_slot, self.slot_confirmed_at = -1, -inf
+            self.commands.append(commands.SlotChanged(-1))
 
-    def chair_id(self) -> int:
+    def leader_id(self) -> int:
         """Who made the newest view that this process knows of; 0: nobody."""
         heading = self.table.get(HEADING, 0)
         return msgpack.unpackb(heading[1])[1] if heading is not None else 0
 
-    def current(self) -> bool:
+    def is_view_current(self) -> bool:
         """Whether the view that is held here may be acted on now: no other was in force for longer than that."""
-        return self.view.number > 0 and self.age() < shortest(self.settings.view_ms)
+        return self.view.number > 0 and self.view_age() < min_under_drift(self.settings.view_ms)
 
-    def seat(self) -> int:
+    def slot(self) -> int:
         """The number that is surely this process's own now, -1: none. Looked at in the turn that acts on it."""
-        if self.in_chair():
-            self.age()
-            self._seated()
-        return self.number if self.now - self.seated_at < shortest(self.settings.keep_ms) else -1
+        if self.is_leader():
+            self.view_age()
+            self._update_slot()
+        return (
+            self.assigned_slot if self.now - self.slot_confirmed_at < min_under_drift(self.settings.keep_ms) else -1
+        )
 
     def _look_after_seat(self, _: object) -> None:
         if self.leaving:
@@ -329,16 +335,16 @@
         again = ASK_SEAT_MS
         if not self.view.holds(self.me):
             s = self.settings
-            seats = (seat(data) for _, data in self.table.of(SEAT).values())
+            seats = (seat(data) for _, data in self.table.entries_of(SEAT).values())
             if any(x is not None and x.id == self.me and x.state != LOST for x in seats):
                 again = 4 * ASK_SEAT_MS  # it has one; the rest of that view is still on its way
-            if self.vote is not None and self.chair.holds():
-                self.seating.wish(self.me, s.address, s.wanted)
+            if self.lease_acceptor is not None and self.leader_lease.is_held():
+                self.view_manager.wish(self.me, s.address, s.wanted_slot)
             else:
-                known = self.members.known.get(self.chair_id())
+                known = self.members.known.get(self.leader_id())
                 ask = [known] if known is not None and known.state <= SUSPECT else self.other_seeds()
                 for m in self.rng.sample(ask, min(1, len(ask))):
-                    self.send(f.SEAT_ASK, m.id, [*s.address, s.wanted, [self.table.row((MEMBER, self.me))]])
+                    self.send(f.SEAT_ASK, m.id, [*s.address, s.wanted_slot, [self.table.row((MEMBER, self.me))]])
         self.at(again, self._look_after_seat, None)
 
     # --- the end ---------------------------------------------------------------------------------
@@ -350,17 +356,17 @@
         if self.leaving:
             return
         self.leaving = True
-        self.number, self.seated_at = -1, -inf
+        self.assigned_slot, self.slot_confirmed_at = -1, -inf
         self.members.leave()
         self._give_back()
 
-    def hush(self, now: float) -> None:
+    def stop_sending(self, now: float) -> None:
         """Not a word more: a successor at the same address goes on. The number stays taken, by it."""
         self.now = now
-        if self.vote is not None:
-            self.chair.give_up()
+        if self.lease_acceptor is not None:
+            self.leader_lease.give_up()
         self.leaving = self.left = self.silent = True
-        self.number, self.seated_at = -1, -inf
+        self.assigned_slot, self.slot_confirmed_at = -1, -inf
         self.timers.clear()
 
     def _give_back(self) -> None:
@@ -370,19 +376,19 @@
         if self.free_tries > FREE_TRIES:
             self._over()
             return
-        if self.vote is not None and self.chair.holds():
-            self.seating.freed(self.me)
+        if self.lease_acceptor is not None and self.leader_lease.is_held():
+            self.view_manager.freed(self.me)
             if self.view.number_of(self.me) < 0:
                 self._over()
                 return
-        elif (known := self.members.known.get(self.chair_id())) is not None:
+        elif (known := self.members.known.get(self.leader_id())) is not None:
             self.send(f.SEAT_FREE, known.id, [])
         self.at(FREE_MS, lambda _: self._give_back(), None)
 
     def _over(self) -> None:
         """The last words: to some others, so that nobody has to find out."""
-        if self.vote is not None:
-            self.chair.give_up()
+        if self.lease_acceptor is not None:
+            self.leader_lease.give_up()
         others = self.members.alive()
         for m in self.rng.sample(others, min(3, len(others))):
             self.send(f.ROWS, m.id, [[self.table.row((MEMBER, self.me))]])
--- a/rushweir/fleet/drift.py
+++ b/rushweir/fleet/drift.py
@@ -7,11 +7,11 @@
 DRIFT = 0.01  # of the time counted; the clocks of two machines differ by 0.0005 at most when they are in order
 
 
-def shortest(ms: float) -> float:
+def min_under_drift(ms: float) -> float:
     """What may be counted here of a right that another gave for so long: it is over here first."""
     return ms * (1 - DRIFT) / (1 + DRIFT)
 
 
-def longest(ms: float) -> float:
+def max_under_drift(ms: float) -> float:
     """What has to be counted here until a right given to another for so long is surely over there."""
     return ms * (1 + DRIFT) / (1 - DRIFT)
--- a/rushweir/fleet/exchange.py
+++ b/rushweir/fleet/exchange.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 from rushweir.fleet import frame as f
-from rushweir.fleet.budget import Budget
 from rushweir.fleet.members import ALIVE, SUSPECT
+from rushweir.fleet.message_budget import MessageBudget
 from rushweir.fleet.settings import JOIN_MS, REST_MS
 from rushweir.fleet.table import HEADING, MARK, MEMBER, PARTS, SEAT, fitting
 
@@ -30,7 +30,7 @@
         self.fleet, self.rng = fleet, fleet.rng
         self.learnt = False  # something since the last comparison
         self.ahead = (0, 0)  # who told last of a newer view than is held here, and of which
-        self.welcomes = Budget(fleet.settings.per_s, fleet.now)
+        self.welcomes = MessageBudget(fleet.settings.per_s, fleet.now)
 
     def start(self) -> None:
         self.fleet.at(self.rng.uniform(0, REST_MS), self._compare, None)
@@ -56,11 +56,11 @@
             return
         others = [(MEMBER, x.id) for x in known.values() if x.state == ALIVE and x.id != fleet.me]
         keys = [(MEMBER, fleet.me), *self.rng.sample(others, min(WELCOMED, len(others)))]
-        fleet.send_to(address, f.WELCOME, to, [fitting([fleet.table.row(k) for k in keys], ROWS_ROOM)[0]])
+        fleet.send_to(address, f.JOIN_REPLY, to, [fitting([fleet.table.row(k) for k in keys], ROWS_ROOM)[0]])
 
     def _compare(self, _: object) -> None:
         alive = self.fleet.members.alive()
-        if alive and self.fleet.may_spend() and not self.fleet.leaving:
+        if alive and self.fleet.may_send() and not self.fleet.leaving:
             self._send_digest(self.rng.choice(alive).id, False)
         rest, self.learnt = SOON_MS if self.learnt else REST_MS, False
         self.fleet.at(rest * self.rng.uniform(0.8, 1.2), self._compare, None)
@@ -77,7 +77,7 @@
         (asked, view), self.ahead = self.ahead, (0, 0)
         heading = fleet.table.get(HEADING, 0)
         if view <= mine:
-            asked = fleet.chair_id() if heading is not None and heading[0] > mine else 0
+            asked = fleet.leader_id() if heading is not None and heading[0] > mine else 0
         m = fleet.members.known.get(asked)
         if m is None or m.state > SUSPECT or asked == fleet.me or fleet.leaving:
             return False
@@ -101,11 +101,11 @@
                 entries = [table.row(k) for k in table.keys(part)]
                 if answer and len(fitting(entries, ROWS_ROOM)) == 1:
                     self._send_rows(sender, entries)
-                elif fleet.may_spend():
+                elif fleet.may_send():
                     self.tell_versions(sender, part, table.versions(part), True)
             return
         if not answer:
-            if fleet.may_spend():
+            if fleet.may_send():
                 self._send_sketch(sender, parts, True)
             return
         for part in parts:
@@ -137,13 +137,13 @@
         self.rng.shuffle(lacks)
         lacks.sort(key=lambda key: key[0] == MEMBER)
         self._send_rows(sender, [self.fleet.table.row(key) for key in lacks], MOST_WHOLE)
-        if answer and self.fleet.may_spend():
+        if answer and self.fleet.may_send():
             self._send_sketch(sender, parts, False)
 
     def _send_rows(self, to: int, rows: list, most: int | None = None) -> int:
         sent = 0
         for portion in fitting(rows, ROWS_ROOM)[:most]:
-            if self.fleet.may_spend():
+            if self.fleet.may_send():
                 self.fleet.send(f.ROWS, to, [portion])
                 sent += 1
         return sent
@@ -151,9 +151,9 @@
     def point_to_chair(self, to: int) -> None:
         """Somebody asked this seed for what the chair does."""
         fleet = self.fleet
-        keys = [(HEADING, 0), (MEMBER, fleet.chair_id())]
+        keys = [(HEADING, 0), (MEMBER, fleet.leader_id())]
         rows = [fleet.table.row(k) for k in keys if fleet.table.get(*k) is not None]
-        if rows and fleet.may_spend():
+        if rows and fleet.may_send():
             fleet.send(f.ROWS, to, [rows])
 
     def tell_versions(self, to: int, part: int, versions: list, answer: bool) -> None:
@@ -168,6 +168,6 @@
     def versions(self, sender: int, part: int, whole: bool, answer: bool, theirs: list) -> None:
         lacks, wants = self.fleet.table.missing(part, theirs, whole)
         self._send_rows(sender, [self.fleet.table.row(k) for k in lacks])
-        if wants and answer and self.fleet.may_spend():
-            mine = [[k, origin, (self.fleet.table.of(k).get(origin) or (0,))[0]] for k, origin, _ in wants]
+        if wants and answer and self.fleet.may_send():
+            mine = [[k, origin, (self.fleet.table.entries_of(k).get(origin) or (0,))[0]] for k, origin, _ in wants]
             self.tell_versions(sender, part, mine, False)
--- a/rushweir/fleet/handlers.py
+++ b/rushweir/fleet/handlers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from rushweir.fleet import frame as f
-from rushweir.fleet.chair import NOBODY
+from rushweir.fleet.leader_lease import NOBODY
 from rushweir.fleet.members import unpack
 from rushweir.fleet.table import MEMBER
 
@@ -26,8 +26,8 @@
     told = unpack(whole(origin), whole(version), data)
     if kind != MEMBER or origin != sender or told is None:
         raise ValueError("a JOIN tells of its sender")
-    if fleet.exchange.welcomes.has(fleet.now):
-        fleet.exchange.welcomes.draw(fleet.now)
+    if fleet.exchange.welcomes.allows(fleet.now):
+        fleet.exchange.welcomes.spend(fleet.now)
         fleet.exchange.welcome(sender, told.address)
 
 
@@ -42,13 +42,13 @@
     fleet.merge(rows)
     fleet.exchange.heard(sender, whole(view))
     if not fleet.left:
-        fleet.send(f.ACK, sender, [whole(number), *fleet.beacon(), fleet.told(sender)])
+        fleet.send(f.PROBE_ACK, sender, [whole(number), *fleet.beacon(), fleet.told(sender)])
 
 
 def ack(fleet: Fleet, sender: int, body: list) -> None:
     number, view, age, rows = body
     fleet.members.answered(sender, whole(number))
-    fleet.learn_age(sender, number, whole(view), whole(age))
+    fleet.learn_view_age(sender, number, whole(view), whole(age))
     fleet.merge(rows)
     fleet.exchange.heard(sender, view)
 
@@ -87,21 +87,23 @@
 
 
 def prepare(fleet: Fleet, sender: int, body: list) -> None:
-    if fleet.vote is not None and not fleet.leaving:
-        told = fleet.vote.prepare(fleet.now, whole(body[0]))
+    if fleet.lease_acceptor is not None and not fleet.leaving:
+        told = fleet.lease_acceptor.prepare(fleet.now, whole(body[0]))
         if told is not None:
-            fleet.send(f.PROMISE, sender, [body[0], *told, fleet.seating.kept.number, fleet.vote.promised])
+            fleet.send(
+                f.PROMISE, sender, [body[0], *told, fleet.view_manager.stored.number, fleet.lease_acceptor.promised]
+            )
 
 
 def promise(fleet: Fleet, sender: int, body: list) -> None:
     ballot, ok, holder, view, highest = body
     if is_seed(fleet, sender):
-        fleet.chair.promised(sender, whole(ballot), ok is True, whole(holder), whole(view), whole(highest))
+        fleet.leader_lease.promised(sender, whole(ballot), ok is True, whole(holder), whole(view), whole(highest))
 
 
 def propose(fleet: Fleet, sender: int, body: list) -> None:
-    if fleet.vote is not None and not fleet.leaving:
-        ok = fleet.vote.propose(fleet.now, whole(body[0]), sender)
+    if fleet.lease_acceptor is not None and not fleet.leaving:
+        ok = fleet.lease_acceptor.propose(fleet.now, whole(body[0]), sender)
         if ok is not None:
             fleet.send(f.ACCEPT, sender, [body[0], ok])
 
@@ -109,66 +111,66 @@
 def accept(fleet: Fleet, sender: int, body: list) -> None:
     ballot, ok = body
     if is_seed(fleet, sender):
-        fleet.chair.accepted(sender, whole(ballot), ok is True)
+        fleet.leader_lease.on_accept(sender, whole(ballot), ok is True)
 
 
 def release(fleet: Fleet, sender: int, body: list) -> None:
-    if fleet.vote is not None:
-        fleet.vote.release(sender)
+    if fleet.lease_acceptor is not None:
+        fleet.lease_acceptor.release(sender)
 
 
 def is_seed(fleet: Fleet, sender: int) -> bool:
     """Only the process that is alive at a seed's address has that seed's vote: a majority counts addresses."""
-    return fleet.vote is not None and sender != NOBODY and any(m.id == sender for m in fleet.other_seeds())
+    return fleet.lease_acceptor is not None and sender != NOBODY and any(m.id == sender for m in fleet.other_seeds())
 
 
 def view_put(fleet: Fleet, sender: int, body: list) -> None:
     ballot, number, base, hash_, page, of, _ = body
-    if fleet.vote is not None and fleet.seating.checked(body) and isinstance(hash_, bytes):
+    if fleet.lease_acceptor is not None and fleet.view_manager.checked(body) and isinstance(hash_, bytes):
         for value in (ballot, number, base, page, of):
             whole(value)
-        fleet.seating.put(sender, body)
+        fleet.view_manager.put(sender, body)
 
 
 def view_ack(fleet: Fleet, sender: int, body: list) -> None:
     number, ok, has = body
     if is_seed(fleet, sender):
-        fleet.seating.voted(sender, whole(number), ok is True, whole(has))
+        fleet.view_manager.voted(sender, whole(number), ok is True, whole(has))
 
 
 def view_want(fleet: Fleet, sender: int, body: list) -> None:
-    if fleet.vote is not None:
-        fleet.seating.wanted(sender, whole(body[0]))
+    if fleet.lease_acceptor is not None:
+        fleet.view_manager.wanted(sender, whole(body[0]))
 
 
 def view_page(fleet: Fleet, sender: int, body: list) -> None:
     number, _, page, of, _ = body
-    if fleet.vote is not None and fleet.seating.checked(body):
+    if fleet.lease_acceptor is not None and fleet.view_manager.checked(body):
         for value in (number, page, of):
             whole(value)
-        fleet.seating.page(sender, body)
+        fleet.view_manager.page(sender, body)
 
 
 def seat_ask(fleet: Fleet, sender: int, body: list) -> None:
     host, port, wanted, own = body
     fleet.merge(own)
-    if fleet.vote is None or not isinstance(host, str):
+    if fleet.lease_acceptor is None or not isinstance(host, str):
         return
-    if not fleet.chair.holds():
+    if not fleet.leader_lease.is_held():
         fleet.exchange.point_to_chair(sender)
     else:
-        fleet.seating.wish(sender, (host, whole(port)), whole(wanted))
+        fleet.view_manager.wish(sender, (host, whole(port)), whole(wanted))
 
 
 def seat_no(fleet: Fleet, sender: int, body: list) -> None:
-    if isinstance(body[0], str) and body[0] != fleet.refused:
-        fleet.refused = body[0]
+    if isinstance(body[0], str) and body[0] != fleet.refusal_reason:
+        fleet.refusal_reason = body[0]
         fleet.note("warning", "seat_refused", why=body[0])
 
 
 def seat_free(fleet: Fleet, sender: int, body: list) -> None:
-    if fleet.vote is not None:
-        fleet.seating.freed(sender)
+    if fleet.lease_acceptor is not None:
+        fleet.view_manager.freed(sender)
 
 
 def seat_freed(fleet: Fleet, sender: int, body: list) -> None:
@@ -184,9 +186,10 @@
 
 
 HANDLERS: dict[int, Callable[[Any, int, list], None]] = {
-    f.JOIN: join, f.WELCOME: welcome, f.PING: ping, f.ACK: ack, f.PING_FOR: ping_for, f.ACK_FOR: ack_for,
-    f.NACK_FOR: nack_for, f.DIGEST: digest, f.VERSIONS: versions, f.SKETCH: sketch, f.ROWS: rows,
-    f.PREPARE: prepare, f.PROMISE: promise, f.PROPOSE: propose, f.ACCEPT: accept, f.RELEASE: release,
+    f.JOIN: join, f.JOIN_REPLY: welcome, f.PROBE: ping, f.PROBE_ACK: ack,
+    f.INDIRECT_PROBE: ping_for, f.INDIRECT_ACK: ack_for, f.INDIRECT_NACK: nack_for,
+    f.DIGEST: digest, f.VERSIONS: versions, f.SKETCH: sketch, f.ROWS: rows,
+    f.PREPARE: prepare, f.PROMISE: promise, f.PROPOSE: propose, f.ACCEPT: accept, f.LEASE_RELEASE: release,
     f.VIEW_PUT: view_put, f.VIEW_ACK: view_ack, f.VIEW_WANT: view_want, f.VIEW_PAGE: view_page,
     f.SEAT_ASK: seat_ask, f.SEAT_NO: seat_no, f.SEAT_FREE: seat_free, f.SEAT_FREED: seat_freed, f.APP: app,
 }  # fmt: skip
--- a/rushweir/fleet/chair.py
+++ b/rushweir/fleet/leader_lease.py
@@ -20,7 +20,7 @@
 from typing import TYPE_CHECKING
 
 from rushweir.fleet import frame as f
-from rushweir.fleet.drift import longest, shortest
+from rushweir.fleet.drift import max_under_drift, min_under_drift
 from rushweir.fleet.views import SEED_BITS
 
 if TYPE_CHECKING:
@@ -32,12 +32,12 @@
 PREPARING, PROPOSING = "preparing", "proposing"
 
 
-class Vote:
+class LeaseAcceptor:
     """One seed's vote: what it promised and granted."""
 
     def __init__(self, now: float, term_ms: float) -> None:
         self.term = term_ms
-        self.silent_until = now + longest(term_ms)
+        self.silent_until = now + max_under_drift(term_ms)
         self.promised, self.granted, self.holder, self.until = 0, 0, NOBODY, now
 
     def prepare(self, now: float, ballot: int) -> tuple[bool, int] | None:
@@ -78,32 +78,32 @@
     newest: tuple[int, int] = (0, 0)  # number of the newest view that a promise named, and who has it
 
 
-class Chair:
+class LeaderLease:
     """One seed's way to the lease."""
 
-    def __init__(self, fleet: Fleet, vote: Vote) -> None:
+    def __init__(self, fleet: Fleet, vote: LeaseAcceptor) -> None:
         self.fleet, self.vote, self.seed = fleet, vote, fleet.settings.voter
-        self.term = fleet.settings.chair_ms
+        self.lease_ms = fleet.settings.leader_lease_ms
         self.majority = len(fleet.settings.seeds) // 2 + 1
         self.round: Round | None = None
-        self.until = fleet.now  # the lease is held before
+        self.expires_at = fleet.now  # the lease is held before
         self.renew_at = self.highest = 0.0
         self.next_try = vote.silent_until
 
-    def holds(self) -> bool:
+    def is_held(self) -> bool:
         """Looked at in the turn in which something is done by it, so that a process that was paused does nothing."""
-        return self.fleet.now < self.until
+        return self.fleet.now < self.expires_at
 
     def tick(self, _: object = None) -> None:
         now, fleet = self.fleet.now, self.fleet
-        if self.round is not None and now > self.round.at + self.term * ROUND_PART:
+        if self.round is not None and now > self.round.at + self.lease_ms * ROUND_PART:
             self.round = None
-            self.next_try = now + fleet.rng.uniform(0.5, 1.5) * self.term * ROUND_PART
+            self.next_try = now + fleet.rng.uniform(0.5, 1.5) * self.lease_ms * ROUND_PART
         if self.round is None and not fleet.leaving:
             open_ = self.vote.given(now) in (NOBODY, fleet.me)
-            if self.holds() and now >= self.renew_at or (not self.holds() and open_ and now >= self.next_try):
+            if self.is_held() and now >= self.renew_at or (not self.is_held() and open_ and now >= self.next_try):
                 self._begin()
-        fleet.at(self.term / 30, self.tick, None)
+        fleet.at(self.lease_ms / 30, self.tick, None)
 
     def _begin(self) -> None:
         now, fleet = self.fleet.now, self.fleet
@@ -113,7 +113,7 @@
             fleet.send(f.PREPARE, peer.id, [self.round.ballot])
         told = self.vote.prepare(now, self.round.ballot)
         if told is not None:
-            self.promised(fleet.me, self.round.ballot, told[0], told[1], fleet.seating.kept.number, 0)
+            self.promised(fleet.me, self.round.ballot, told[0], told[1], fleet.view_manager.stored.number, 0)
 
     def promised(self, voter: int, ballot: int, ok: bool, holder: int, view: int, highest: int) -> None:
         self.highest = max(self.highest, highest)
@@ -128,27 +128,27 @@
         for peer in fleet.other_seeds():
             fleet.send(f.PROPOSE, peer.id, [ballot])
         if self.vote.propose(now, ballot, fleet.me):
-            self.accepted(fleet.me, ballot, True)
+            self.on_accept(fleet.me, ballot, True)
 
-    def accepted(self, voter: int, ballot: int, ok: bool) -> None:
+    def on_accept(self, voter: int, ballot: int, ok: bool) -> None:
         r, fleet = self.round, self.fleet
         if r is None or r.ballot != ballot or r.phase != PROPOSING or not ok:
             return
         r.yes.add(voter)
         if len(r.yes) < self.majority:
             return
-        new, self.round = not self.holds(), None
-        self.until = r.at + shortest(self.term)
-        self.renew_at = r.at + RENEW_PART * self.term
-        if new and self.holds():
+        new, self.round = not self.is_held(), None
+        self.expires_at = r.at + min_under_drift(self.lease_ms)
+        self.renew_at = r.at + RENEW_PART * self.lease_ms
+        if new and self.is_held():
             fleet.counts["elected"] += 1
             fleet.note("info", "chair_taken", ballot=ballot)
-            fleet.seating.open(ballot, *r.newest)
+            fleet.view_manager.open(ballot, *r.newest)
 
     def give_up(self) -> None:
         """Hold it no more, and tell the other seeds that they need not wait."""
-        if self.holds():
-            self.until, self.round = self.fleet.now, None
+        if self.is_held():
+            self.expires_at, self.round = self.fleet.now, None
             self.vote.release(self.fleet.me)
             for peer in self.fleet.other_seeds():
-                self.fleet.send(f.RELEASE, peer.id, [])
+                self.fleet.send(f.LEASE_RELEASE, peer.id, [])
--- a/rushweir/fleet/members.py
+++ b/rushweir/fleet/members.py
@@ -44,8 +44,11 @@
     (DEAD, GOODBYE): LEFT,
 }
 MOST_HEALTH = 8  # times the usual patience, at worst
-STALE_PART, STALE_MS = 1 / 4, 1_200.0  # of a view's term, and at most: word that it is in force is stale then
-CHAIR_ASKED = 6  # members that ask the chair in each period, at most
+STALE_VIEW_SHARE, STALE_VIEW_MS = (
+    1 / 4,
+    1_200.0,
+)  # of a view's term, and at most: word that it is in force is stale then
+LEADER_PROBES_PER_PERIOD = 6  # members that ask the chair in each period, at most
 LATELY, LATELY_MS = 16, 1_000.0  # members that were heard last are remembered, and may be relied on for so long
 CLEARED = 2  # failed probes in a row that helpers confirm: then the fault is not here
 MOST_ZONE = 32  # bytes of a zone's name as it is told
@@ -143,7 +146,7 @@
             return
         had, self.known[origin] = self.known.get(origin), new
         if new.state == SUSPECT and (had is None or had.state < SUSPECT):
-            patience = suspicion_ms(self.fleet.settings.most) * (1 + self.health / 4)
+            patience = suspicion_ms(self.fleet.settings.slot_count) * (1 + self.health / 4)
             self.fleet.at(patience, self._overdue, (origin, entry[0]))
         elif new.state >= DEAD and (had is None or had.state < DEAD):
             self.fleet.counts["ended_members"] += 1
@@ -194,25 +197,25 @@
         if (target := self._next()) is not None:
             self.serial += 1
             self.probe, self.waited = (self.serial, target), None
-            self.fleet.ping(f.PING, target, self.serial)
+            self.fleet.send_probe(f.PROBE, target, self.serial)
             self.fleet.at(ANSWER_MS * (1 + self.health / 4), self._ask_others, self.probe)
-        self._ask_chair()
+        self._probe_leader()
         self.due = now + PERIOD_MS * (1 + self.health / 4)
         self.fleet.at(self.due - now, self.tick, self.due)
 
-    def _ask_chair(self) -> None:
+    def _probe_leader(self) -> None:
         """Word that the view is in force comes with any answer, but from hand to hand. Who has none for a while asks
         the chair itself, in a large fleet by lot: together they ask as often as ``CHAIR_ASKED`` members would. Who
         heard of a newer view than it holds learns nothing from that answer: it asks for what it lacks instead."""
-        fleet, chair = self.fleet, self.fleet.chair_id()
-        if fleet.age() <= min(STALE_MS, fleet.settings.view_ms * STALE_PART):
+        fleet, chair = self.fleet, self.fleet.leader_id()
+        if fleet.view_age() <= min(STALE_VIEW_MS, fleet.settings.view_ms * STALE_VIEW_SHARE):
             return
         known = self.known.get(chair)
-        if self.rng.random() * self.count() >= CHAIR_ASKED:
+        if self.rng.random() * self.count() >= LEADER_PROBES_PER_PERIOD:
             return
         if not fleet.exchange.catch_up() and chair != fleet.me and known is not None and known.state <= SUSPECT:
             self.serial += 1
-            fleet.ping(f.PING, chair, self.serial)
+            fleet.send_probe(f.PROBE, chair, self.serial)
 
     def _next(self) -> int | None:
         while self.round:
@@ -250,7 +253,7 @@
         helpers = sorted(others, key=lambda id_: id_ not in sure)[:HELPERS]
         self.waited = sure.intersection(helpers) or None
         for helper in helpers:
-            self.fleet.send(f.PING_FOR, helper, [probe[0], probe[1]])
+            self.fleet.send(f.INDIRECT_PROBE, helper, [probe[0], probe[1]])
 
     def asked_for(self, sender: int, number: int, target: int) -> None:
         """Another could not reach a member, and asks whether this one can."""
@@ -259,13 +262,13 @@
             return
         self.serial += 1
         self.helping[self.serial] = (sender, number, target)
-        self.fleet.ping(f.PING, target, self.serial)
+        self.fleet.send_probe(f.PROBE, target, self.serial)
         self.fleet.at(ANSWER_MS, self._not_reached, self.serial)
 
     def _not_reached(self, number: int) -> None:
         """The target does not answer this member either: who asked may trust itself."""
         if (asked := self.helping.get(number)) is not None:
-            self.fleet.send(f.NACK_FOR, asked[0], [asked[1], asked[2]])
+            self.fleet.send(f.INDIRECT_NACK, asked[0], [asked[1], asked[2]])
 
     def heard_of(self, sender: int) -> None:
         """Any datagram of a member came."""
@@ -280,7 +283,7 @@
             self.probe = None
             self.health = max(0, self.health - 1)
         elif (asked := self.helping.pop(number, None)) is not None and asked[2] == sender:
-            self.fleet.send(f.ACK_FOR, asked[0], [asked[1], sender])
+            self.fleet.send(f.INDIRECT_ACK, asked[0], [asked[1], sender])
 
     def answered_for(self, number: int, target: int) -> None:
         if self.probe == (number, target):
--- a/rushweir/fleet/budget.py
+++ b/rushweir/fleet/message_budget.py
@@ -5,17 +5,17 @@
 BURST_S = 0.5  # of what a second allows, at once
 
 
-class Budget:
+class MessageBudget:
     """A token bucket that what has to go may overdraw, by what a second allows at most."""
 
     def __init__(self, per_s: float, now: float) -> None:
         self.per_s, self.tokens, self.at = per_s, per_s * BURST_S, now
 
-    def has(self, now: float) -> bool:
+    def allows(self, now: float) -> bool:
         self.tokens = min(self.per_s * BURST_S, self.tokens + (now - self.at) * self.per_s / 1000)
         self.at = now
         return self.tokens >= 1
 
-    def draw(self, now: float, count: float = 1.0) -> None:
-        self.has(now)
+    def spend(self, now: float, count: float = 1.0) -> None:
+        self.allows(now)
         self.tokens = max(-self.per_s, self.tokens - count)
--- a/rushweir/fleet/settings.py
+++ b/rushweir/fleet/settings.py
@@ -23,10 +23,10 @@
 
     address: Address  # where the others reach it; one process at a time
     seeds: tuple[Address, ...]  # where to begin, and who decides by majority
-    most: int  # numbers that there are
-    wanted: int = -1  # the number that it must have; -1: any
+    slot_count: int  # numbers that there are
+    wanted_slot: int = -1  # the number that it must have; -1: any
     zone: str = ""
-    chair_ms: float = 2_000.0  # right to decide, unless renewed: shorter than anything that needs it to go on
+    leader_lease_ms: float = 2_000.0  # right to decide, unless renewed: shorter than anything that needs it to go on
     view_ms: float = 10_000.0  # a view may be acted on for so long after it was surely in force
     keep_ms: float = 600_000.0  # a number that fell silent is given to nobody else for so long
     per_s: float = 15.0  # datagrams of the fleet a second
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         if not 1 <= len(self.seeds) <= MOST_SEEDS or len(set(self.seeds)) < len(self.seeds):
             raise ValueError(f"seeds: 1 to {MOST_SEEDS}, each once")
-        if self.wanted >= self.most:
+        if self.wanted_slot >= self.slot_count:
             raise ValueError("wanted: a number below most")
         if self.keep_ms <= self.view_ms:
             raise ValueError("keep: longer than the term of a view")
@@ -47,7 +47,7 @@
 
     @property
     def most_entries(self) -> int:
-        return self.most * (1 + ENDED_KEPT) + len(self.seeds)
+        return self.slot_count * (1 + ENDED_KEPT) + len(self.seeds)
 
 
 def suspicion_ms(most: int) -> float:
--- a/rushweir/fleet/status.py
+++ b/rushweir/fleet/status.py
@@ -14,11 +14,11 @@
 
 def status(fleet: Fleet) -> dict[str, Any]:
     """How this member sees the fleet."""
-    age = fleet.age()
+    age = fleet.view_age()
     return {
-        "id": f"{fleet.me:016x}", "number": fleet.seat(), "view": fleet.view.number,
-        "view_age_ms": None if age == inf else round(age), "current": fleet.current(),
-        "confirmed_by": list(fleet.confirmed), "chair": fleet.in_chair(), "refused": fleet.refused,
+        "id": f"{fleet.me:016x}", "number": fleet.slot(), "view": fleet.view.number,
+        "view_age_ms": None if age == inf else round(age), "current": fleet.is_view_current(),
+        "confirmed_by": list(fleet.confirmed), "chair": fleet.is_leader(), "refused": fleet.refusal_reason,
         "members": [
             {
                 "id": f"{m.id:016x}", "address": "{}:{}".format(*m.address), "zone": m.zone,
@@ -29,7 +29,7 @@
         ],
         "seats": [
             {"number": n, "address": "{}:{}".format(*s.address), "state": STATES[s.state]}
-            for n, s in sorted(fleet.view.seats.items())
+            for n, s in sorted(fleet.view.slots.items())
         ],
         "counts": dict(fleet.counts) | {f"frames_{k}": v for k, v in fleet.frames.counts.items()},
     }  # fmt: skip
--- a/rushweir/fleet/table.py
+++ b/rushweir/fleet/table.py
@@ -48,7 +48,7 @@
     def get(self, kind: int, origin: int) -> tuple[int, bytes] | None:
         return self.entries[kind].get(origin)
 
-    def of(self, kind: int) -> dict[int, tuple[int, bytes]]:
+    def entries_of(self, kind: int) -> dict[int, tuple[int, bytes]]:
         """Version and data by origin."""
         return self.entries[kind]
 
--- a/rushweir/fleet/views.py
+++ b/rushweir/fleet/views.py
@@ -19,7 +19,7 @@
 
 from rushweir.fleet.settings import Address
 
-SEATED, LOST = 0, 1
+ACTIVE, LOST = 0, 1
 STATES = ("seated", "lost")
 SEED_BITS = 3
 MOST_HOST = 45  # characters of an address as text, IPv6 with the longest form
@@ -32,7 +32,7 @@
 
     id: int
     address: Address
-    state: int = SEATED
+    state: int = ACTIVE
 
     def pack(self) -> bytes:
         return msgpack.packb([self.id, *self.address, self.state])
@@ -46,7 +46,7 @@
         id_, host, port, state = msgpack.unpackb(data)
     except (ValueError, TypeError, msgpack.UnpackException):
         return None
-    good = type(id_) is int and isinstance(host, str) and type(port) is int and state in (SEATED, LOST)
+    good = type(id_) is int and isinstance(host, str) and type(port) is int and state in (ACTIVE, LOST)
     return Seat(id_, (host, port), state) if good else None
 
 
@@ -55,20 +55,20 @@
     """Numbered seats. ``number`` 0: none was ever agreed on."""
 
     number: int = 0
-    seats: dict[int, Seat] = field(default_factory=dict)
+    slots: dict[int, Seat] = field(default_factory=dict)
 
     def digest(self) -> bytes:
-        text = b"".join(b"%d %b " % (n, self.seats[n].pack()) for n in sorted(self.seats))
+        text = b"".join(b"%d %b " % (n, self.slots[n].pack()) for n in sorted(self.slots))
         return blake2b(text, digest_size=8).digest()
 
     def number_of(self, id_: int) -> int:
         """The seat of a process; -1: it has none."""
-        return next((n for n, s in self.seats.items() if s.id == id_), -1)
+        return next((n for n, s in self.slots.items() if s.id == id_), -1)
 
     def holds(self, id_: int) -> bool:
         """Whether a process has a seat and is not lost."""
         n = self.number_of(id_)
-        return n >= 0 and self.seats[n].state == SEATED
+        return n >= 0 and self.slots[n].state == ACTIVE
 
 
 def next_number(after: int, seed: int) -> int:
@@ -107,7 +107,7 @@
             del new[n]
     silent = set(silent)
     for n, s in list(new.items()):
-        if s.id in silent and s.state == SEATED and room():
+        if s.id in silent and s.state == ACTIVE and room():
             new[n] = replace(s, state=LOST)
     for w in wishes:
         if not room():
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -209,12 +209,12 @@
                 if data is not None:
                     self.orders.append(c.Datagram(to, data))
                     if self.fleet is not None:
-                        self.fleet.fleet.mail()
+                        self.fleet.fleet.charge_peer_messages()
 
     def file_saved(self, now: float, serial: int) -> None:
         """A SaveFile order was carried out."""
         self._at(now)
-        self.fleet.fleet.kept(now, serial)
+        self.fleet.fleet.file_saved(now, serial)
         self._run()
 
     def _call_counter(self, command: c.CallCounter) -> None:
@@ -295,7 +295,7 @@
             if part.out:
                 self.orders.extend(part.out)
                 part.out.clear()
-        if self.fleet is not None and self.fleet.fleet.orders:
+        if self.fleet is not None and self.fleet.fleet.commands:
             self.fleet.carry(self)
         if source is not None and source.remarks:
             for remark in source.remarks:
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -10,13 +10,13 @@
 
 from rushweir import interface as i
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import UNIT, Whole
+from rushweir.budgets.records import UNIT, BudgetTotal
 from rushweir.budgets.status import rows
-from rushweir.fleet import orders as o
+from rushweir.fleet import commands as fleet_commands
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.frame import VERSION
 from rushweir.fleet.status import status
-from rushweir.fleet.views import SEATED
+from rushweir.fleet.views import ACTIVE
 from rushweir.ingress import commands as c
 from rushweir.rollout.ceilings import CLOSED
 
@@ -52,7 +52,7 @@
             self.fleet.start(core.now)
         core.engine.at(core.now, self._look, core)
         self.budgets.start(core.now)
-        self.budgets.bucket = lambda name: _bucket(core, name)
+        self.budgets.bucket_state = lambda name: _bucket(core, name)
         self._settings(core.setup.settings)
         self._peers(core)
         if self.fleet.view.number:
@@ -64,19 +64,19 @@
 
     def carry(self, core: Core) -> None:
         """What the fleet wants done."""
-        orders = self.fleet.orders
+        orders = self.fleet.commands
         while orders:
             order = orders.popleft()
             match order:
-                case o.SendTo():
+                case fleet_commands.SendTo():
                     core.orders.append(c.SendTo(order.address, order.data))
-                case o.KeepFile():
+                case fleet_commands.SaveFile():
                     core.orders.append(c.SaveFile(FILE, order.serial, order.data))
-                case o.Note():
+                case fleet_commands.LogEvent():
                     core.remark(c.Remark(order.level, order.cause, order.fields))
-                case o.SeatChanged():
-                    core.remark(c.Remark("info", "number", {"number": order.number}))
-                case o.ViewChanged():
+                case fleet_commands.SlotChanged():
+                    core.remark(c.Remark("info", "number", {"number": order.slot}))
+                case fleet_commands.ViewChanged():
                     self._peers(core)
                     self._present(core)
                     core.remark(c.Remark("info", "view", {"view": self.fleet.view.number}))
@@ -86,19 +86,21 @@
     def turn(self, core: Core) -> None:
         """First in each turn: what is over is over before anything is decided by it."""
         self.fleet.now = core.now
-        if core.now >= self.budgets.due:
-            self.budgets.turn(core.now)
+        if core.now >= self.budgets.next_expiry_at:
+            self.budgets.expire_leases(core.now)
         self._parts(core)
 
     def asked(self, core: Core, partner: Partner, units: float) -> None:
         """A request came, before it is decided on."""
         plan = self.ceilings.get(partner.plan)
         if plan is not None:
-            count = 0 if partner.spread >= self.fleet.settings.most else partner.spread
+            count = 0 if partner.spread >= self.fleet.settings.slot_count else partner.spread
             # What is between two settings is owned whole: nothing of it is lent, or kept by a home.
             floor = 1.0 if plan.name.startswith(CLOSED) else self.floor
-            whole = Whole.of(plan.ceiling_rate, plan.ceiling_burst, floor, partner.first if count else 0, count)
-            self.budgets.demand(core.now, partner.name, whole, int(units * UNIT))
+            whole = BudgetTotal.from_units(
+                plan.ceiling_rate, plan.ceiling_burst, floor, partner.first if count else 0, count
+            )
+            self.budgets.record_demand(core.now, partner.name, whole, int(units * UNIT))
             self._parts(core)
 
     def _parts(self, core: Core) -> None:
@@ -106,15 +108,17 @@
         if self.budgets.changes:
             changes, self.budgets.changes = self.budgets.changes, []
             for x in changes:
-                whose = x.kept or x.name
-                part = i.Part(whose, x.part.rate / UNIT, x.part.burst / UNIT, x.add / UNIT, bool(x.kept))
+                whose = x.retained_key or x.name
+                part = i.Part(
+                    whose, x.share.rate / UNIT, x.share.burst / UNIT, x.added_tokens / UNIT, bool(x.retained_key)
+                )
                 core.engine.part(core.now, part)
                 if self.told:
                     fields = {
                         "process": f"{self.fleet.me:016x}", "place": "{}:{}".format(*self.fleet.settings.address),
-                        "partner": x.name, "kept": x.kept, "rate": x.part.rate, "burst": x.part.burst,
-                        "lent_ms": 0.0 if x.kept else round(x.lent_ms, 1), "owned_rate": x.owned.rate,
-                        "owned_burst": x.owned.burst,
+                        "partner": x.name, "kept": x.retained_key, "rate": x.share.rate, "burst": x.share.burst,
+                        "lent_ms": 0.0 if x.retained_key else round(x.lease_ms, 1),
+                        "owned_rate": x.minimum_share.rate, "owned_burst": x.minimum_share.burst,
                     }  # fmt: skip
                     core.orders.append(c.Remark("info", "part", fields))
 
@@ -124,20 +128,20 @@
     def among(self, settings: i.Settings) -> i.Settings:
         """Settings as they hold among the members that there are: of numbers that nobody has none is a keeper."""
         self._settings(settings)
-        seats = self.fleet.view.seats
-        return replace(settings, present=tuple(sorted(n for n, s in seats.items() if s.state == SEATED)))
+        seats = self.fleet.view.slots
+        return replace(settings, present=tuple(sorted(n for n, s in seats.items() if s.state == ACTIVE)))
 
     def _present(self, core: Core) -> None:
         core.engine.adopt(core.now, self.among(core.setup.settings), core.engine.margin)
 
     def _peers(self, core: Core) -> None:
-        seats = self.fleet.view.seats
+        seats = self.fleet.view.slots
         core.orders.append(c.Peers({n: s.address for n, s in seats.items() if n != self.number}))
 
     def _look(self, core: Core) -> None:
         """Whether the number is still this process's own; and what it did, for the others."""
         self.fleet.now = core.now
-        if not self.fleet.leaving and self.given and self.fleet.seat() != self.number and not self.ended:
+        if not self.fleet.leaving and self.given and self.fleet.slot() != self.number and not self.ended:
             # It may be another's by now: two that work under one number would each spend its parts.
             self.ended = True
             core.remark(c.Remark("error", "number_lost", {"number": self.number}))
@@ -161,7 +165,7 @@
         self.budgets.stop(core.now)
         self._parts(core)
         self.carry(core)
-        self.fleet.hush(core.now)
+        self.fleet.stop_sending(core.now)
 
     def left(self) -> bool:
         return self.fleet.left
@@ -169,7 +173,7 @@
     def seen(self) -> dict[str, Any]:
         """For operators."""
         found = status(self.fleet)
-        loads = {f"{origin:016x}": data for origin, (_, data) in self.fleet.table.of(LOAD).items()}
+        loads = {f"{origin:016x}": data for origin, (_, data) in self.fleet.table.entries_of(LOAD).items()}
         for m in found["members"]:
             figures = _figures(loads.get(m["id"]))
             m.update(figures)
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -8,7 +8,7 @@
 
 from rushweir import interface as i
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import NOTHING, Whole, key_of
+from rushweir.budgets.records import NO_SHARE, BudgetTotal, budget_key
 from rushweir.counter.client import CounterClient
 from rushweir.discovery.pushed import PushedList
 from rushweir.fronts.credentials import Credentials
@@ -23,9 +23,11 @@
 def let_go(budgets: Budgets, name: str) -> None:
     """Spend nothing more of what was lent of a budget: its doors are others, and so is the home that counts it. What
     is on its way is not taken either; where it was lent it counts until it is surely over."""
-    key = key_of(name)
-    if (held := budgets.held.get(key)) is not None:
-        budgets.held[key] = replace(held, whole=Whole(0, 0), lease=NOTHING, asked={}, told=NOTHING)
+    key = budget_key(name)
+    if (held := budgets.held_leases.get(key)) is not None:
+        budgets.held_leases[key] = replace(
+            held, total=BudgetTotal(0, 0), share=NO_SHARE, requested_at={}, reported_share=NO_SHARE
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushweir/lab/sabotage.py
+++ b/rushweir/lab/sabotage.py
@@ -15,7 +15,7 @@
 
 from rushweir import interface as i
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import Held, Part, Whole
+from rushweir.budgets.records import BudgetTotal, HeldLease, Share
 from rushweir.config.load import Config
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
@@ -95,18 +95,18 @@
 
 def parts() -> None:
     """Of a shared ceiling each ingress takes what it was lent for its own, for good, and its floor thrice."""
-    real = Budgets.floor
-    Budgets.turn = lambda self, now: None
+    real = Budgets.minimum_share
+    Budgets.expire_leases = lambda self, now: None
 
-    def floor(self: Budgets, key: int, whole: Whole) -> Part:
+    def floor(self: Budgets, key: int, whole: BudgetTotal) -> Share:
         once = real(self, key, whole)
         return once + once + once
 
-    def told(self: Budgets, key: int, h: Held, add: int) -> None:
-        h.until = max(h.until, self.fleet.now + 3_600_000.0) if h.lease.rate else h.until
+    def told(self: Budgets, key: int, h: HeldLease, add: int) -> None:
+        h.expires_at = max(h.expires_at, self.fleet.now + 3_600_000.0) if h.share.rate else h.expires_at
         tell(self, key, h, add)
 
-    tell, Budgets.floor, Budgets._tell = Budgets._tell, floor, told
+    tell, Budgets.minimum_share, Budgets._report_share = Budgets._report_share, floor, told
 
 
 KINDS = {f.__name__: f for f in (lost, twice, repeat, drain, cold, ceiling)}
--- a/rushweir/lab/scale/accounts.py
+++ b/rushweir/lab/scale/accounts.py
@@ -17,10 +17,10 @@
 )  # fmt: skip
 FLEET = (PROBE, TABLE, CHAIR, JOIN)  # what a member costs that uses nothing of its fleet
 _KINDS = {
-    **dict.fromkeys((f.JOIN, f.WELCOME), JOIN),
-    **dict.fromkeys((f.PING, f.ACK, f.PING_FOR, f.ACK_FOR), PROBE),
+    **dict.fromkeys((f.JOIN, f.JOIN_REPLY), JOIN),
+    **dict.fromkeys((f.PROBE, f.PROBE_ACK, f.INDIRECT_PROBE, f.INDIRECT_ACK), PROBE),
     **dict.fromkeys((f.DIGEST, f.VERSIONS, f.ROWS), TABLE),
-    **dict.fromkeys(range(f.PREPARE, f.RELEASE + 1), CHAIR),
+    **dict.fromkeys(range(f.PREPARE, f.LEASE_RELEASE + 1), CHAIR),
     f.APP: BUDGETS,
 }  # fmt: skip
 
--- a/rushweir/lab/scale/events.py
+++ b/rushweir/lab/scale/events.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any
 
-from rushweir.budgets.records import Whole
+from rushweir.budgets.records import BudgetTotal
 from rushweir.lab.scale.accounts import kind_of
 from rushweir.lab.sim.fleets import Members
 from rushweir.lab.sim.spenders import Sharers
@@ -73,7 +73,9 @@
         self.working: list[float] = []  # share of places, at each look
         for n in range(max(1, size // 3)):
             name, first, doors = f"shared-{n}", n * 3 % size, min(DOORS, size)
-            self.fleet.share(name, Whole.of(2 * ASKS_PER_S * doors, 4 * ASKS_PER_S * doors, 0.25, first, doors))
+            self.fleet.share(
+                name, BudgetTotal.from_units(2 * ASKS_PER_S * doors, 4 * ASKS_PER_S * doors, 0.25, first, doors)
+            )
             for k in range(doors):
                 self.world.later(self.world.rng.uniform(0, 1_000.0), self._ask, (first + k) % size, name)
 
@@ -89,7 +91,8 @@
         if self.world.now - self.looked_at > LOOK_MS:
             self.looked_at = self.world.now
             self.numbers = {
-                p.core.number: k for k in range(self.size) if (p := self._up(k)) is not None and p.core.number >= 0
+                p.core.assigned_slot: k for k in range(self.size)
+                if (p := self._up(k)) is not None and p.core.assigned_slot >= 0
             }  # fmt: skip
         return self.numbers
 
@@ -136,11 +139,11 @@
         up = [p for k in range(self.size) if (p := self._up(k)) is not None]
         if len(up) < self.size or len({p.core.view.number for p in up}) != 1:
             return False
-        return all(self._works(p) and p.core.fleet.current() for p in up)
+        return all(self._works(p) and p.core.fleet.is_view_current() for p in up)
 
     def _works(self, p: Process) -> bool:
         p.core.fleet.now = p.clock(self.world.now)
-        return not p.core.leaving and p.core.fleet.seat() >= 0
+        return not p.core.leaving and p.core.fleet.slot() >= 0
 
     def run(self, ms: float, until: Callable[[], bool] = lambda: False) -> float:
         """So long, or until something holds; how long it was."""
--- a/rushweir/lab/scale/hollow.py
+++ b/rushweir/lab/scale/hollow.py
@@ -20,7 +20,7 @@
 from rushweir import interface as i
 from rushweir.config import Config
 from rushweir.daemon.joining import Joining, bound, member
-from rushweir.fleet.views import SEATED
+from rushweir.fleet.views import ACTIVE
 from rushweir.ingress import commands as c
 from rushweir.ingress.asks import Partner
 from rushweir.ingress.core import Core
@@ -246,21 +246,21 @@
 
     def state(self) -> dict[str, Any]:
         view = self.fleet.view
-        seated = sum(s.state == SEATED for s in view.seats.values())
+        seated = sum(s.state == ACTIVE for s in view.slots.values())
         ready = self.shell is not None and self.shell.listed
         return {"open": ready, "view": view.number, "seats": seated, "at": self.view_at}
 
     def dump(self) -> dict[str, Any]:
         """All its sums so far, and what it is now."""
         core, budgets = self.shell.core, self.shell.core.fleet.budgets
-        seed = self.fleet.vote is not None
+        seed = self.fleet.lease_acceptor is not None
         return {
             "place": str(self.place), **self.account.dump(),
-            "group": "chair" if self.fleet.in_chair() else "seed" if seed else "member",
+            "group": "chair" if self.fleet.is_leader() else "seed" if seed else "member",
             "engine": dict(core.engine.counts), "peers": dict(core.peers.counts), "fleet": dict(self.fleet.counts),
             "budgets": dict(budgets.counts),
             # As text, for these are no sums: what came between two dumps of them is the later one.
-            "has": {"held": str(len(budgets.held)), "homes": str(len(budgets.homes)),
-                    "faults": str(core.engine.faults), "age": str(self.fleet.age()), "ended": self.ended,
+            "has": {"held": str(len(budgets.held_leases)), "homes": str(len(budgets.owned)),
+                    "faults": str(core.engine.faults), "age": str(self.fleet.view_age()), "ended": self.ended,
                     "level": str(core.overload.level)},
         }  # fmt: skip
--- a/rushweir/lab/scale/plants.py
+++ b/rushweir/lab/scale/plants.py
@@ -32,7 +32,7 @@
         tick(self, planned)
         for m in self.alive():
             self.serial += 1
-            self.fleet.ping(f.PING, m.id, self.serial)
+            self.fleet.send_probe(f.PROBE, m.id, self.serial)
 
     Members.tick = planted
 
--- a/rushweir/lab/sim/budget_plants.py
+++ b/rushweir/lab/sim/budget_plants.py
@@ -12,25 +12,25 @@
 
 from math import inf
 
+from rushweir.budgets.budget_owner import BudgetOwner
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.home import Home
-from rushweir.budgets.records import NOTHING, Held, Part, Whole
+from rushweir.budgets.records import NO_SHARE, BudgetTotal, HeldLease, Share
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.drift import shortest
+from rushweir.fleet.drift import min_under_drift
 from rushweir.fleet.views import SEED_BITS, View
 
 KINDS = ("late", "hasty", "kept", "early", "freed", "drowsy", "long", "faithful", "slack")
 
 
-class Freed(Home):
-    def ask(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: Whole, spilled: int = 0,
+class Freed(BudgetOwner):
+    def request(
+        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0,
         lacks: int = 0, lasts: float = inf,
-    ) -> tuple[Part, int] | None:  # fmt: skip
-        return super().ask(now, who, serial, serial, demand, whole, spilled, lacks, lasts)
+    ) -> tuple[Share, int] | None:  # fmt: skip
+        return super().request(now, who, serial, serial, demand, whole, spilled, lacks, lasts)
 
-    def settle(self, now: float) -> None:
-        super().settle(now)
+    def advance(self, now: float) -> None:
+        super().advance(now)
         for h in self.holders.values():
             h.grants = h.grants[-1:]
 
@@ -40,54 +40,54 @@
         super().__init__(fleet, term_ms)
         self.kind, self.last = kind, -1
 
-    def _granted(self, serial: int, key: int, part: Part, add: int, lasts: int) -> None:
-        h = self.held.get(key)
-        if self.kind == "late" and h is not None and serial in h.asked:
-            h.asked[serial] = self.fleet.now
-        super()._granted(serial, key, part, add, lasts)
+    def _on_grant(self, serial: int, key: int, part: Share, add: int, lasts: int) -> None:
+        h = self.held_leases.get(key)
+        if self.kind == "late" and h is not None and serial in h.requested_at:
+            h.requested_at[serial] = self.fleet.now
+        super()._on_grant(serial, key, part, add, lasts)
 
-    def _view(self, now: float) -> None:
+    def _on_view_change(self, now: float) -> None:
         if self.kind == "faithful":
-            self.view = View(self.fleet.view.number - (1 << SEED_BITS), self.view.seats)
-        super()._view(now)
+            self.view = View(self.fleet.view.number - (1 << SEED_BITS), self.view.slots)
+        super()._on_view_change(now)
         if self.kind == "hasty":
-            self.opens_at = now
+            self.grants_from = now
 
-    def _number(self, now: float) -> None:
-        super()._number(now)
-        if self.kind == "early" and self.numbered >= 0:
-            self.owned_at = now
+    def _on_slot_change(self, now: float) -> None:
+        super()._on_slot_change(now)
+        if self.kind == "early" and self.last_slot >= 0:
+            self.minimum_share_from = now
 
-    def floor(self, key: int, whole: Whole) -> Part:
-        n = self.fleet.seat()
+    def minimum_share(self, key: int, whole: BudgetTotal) -> Share:
+        n = self.fleet.slot()
         self.last = n if n >= 0 else self.last
         if self.kind == "kept" and self.last >= 0:
-            return self.floor_of(key, whole, self.last)
-        return super().floor(key, whole)
+            return self.minimum_share_of(key, whole, self.last)
+        return super().minimum_share(key, whole)
 
-    def _home(self, key: int, whole: Whole) -> Home:
-        if self.kind == "freed" and self.homes.get(key) is None:
-            self.homes[key] = Freed(self.fleet.now, self.term, max(self.fleet.now, self.opens_at))
-        return super()._home(key, whole)
+    def _owned_budget(self, key: int, whole: BudgetTotal) -> BudgetOwner:
+        if self.kind == "freed" and self.owned.get(key) is None:
+            self.owned[key] = Freed(self.fleet.now, self.lease_ms, max(self.fleet.now, self.grants_from))
+        return super()._owned_budget(key, whole)
 
-    def _give_up(self, now: float, key: int, h: Held) -> None:
+    def _return_lease(self, now: float, key: int, h: HeldLease) -> None:
         if self.kind != "slack":
-            super()._give_up(now, key, h)
+            super()._return_lease(now, key, h)
 
-    def _lasts(self) -> int:
-        return int(shortest(self.term)) if self.kind == "long" else super()._lasts()
+    def _grant_ms(self) -> int:
+        return int(min_under_drift(self.lease_ms)) if self.kind == "long" else super()._grant_ms()
 
-    def turn(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         if self.kind != "drowsy":
-            super().turn(now)
+            super().expire_leases(now)
 
     def _tick(self, _: object) -> None:
         if self.kind == "drowsy":
-            Budgets.turn(self, self.fleet.now)
+            Budgets.expire_leases(self, self.fleet.now)
         super()._tick(_)
 
-    def part(self, now: float, name: str) -> Part:
+    def share(self, now: float, name: str) -> Share:
         if self.kind != "drowsy":
-            return super().part(now, name)
+            return super().share(now, name)
         # What it would spend: what its user was told last.
-        return next((h.told for h in self.held.values() if h.name == name), NOTHING)
+        return next((h.reported_share for h in self.held_leases.values() if h.name == name), NO_SHARE)
--- a/rushweir/lab/sim/control_world.py
+++ b/rushweir/lab/sim/control_world.py
@@ -34,8 +34,8 @@
     """A control process as the world runs it."""
 
     def __init__(self, core: Control) -> None:
-        self.core, self.orders = core, core.orders
-        self.start, self.next_at, self.advance, self.kept = core.start, core.next_at, core.advance, core.kept
+        self.core, self.commands = core, core.orders
+        self.start, self.next_at, self.advance, self.file_saved = core.start, core.next_at, core.advance, core.kept
         self.folded = core.folded
 
     def datagram(self, now: float, data: Any) -> None:
@@ -265,7 +265,7 @@
             case Place(fold):
                 self._told(p, p.core.folded, fold.serial)
             case Append() | Rewrite() as write:
-                self._told(p, p.core.kept, write.serial)
+                self._told(p, p.core.file_saved, write.serial)
 
     def _told(self, p: Process, what: Callable[[float, int], None], serial: int) -> None:
         if p.up and p.stopped:
--- a/rushweir/lab/sim/days.py
+++ b/rushweir/lab/sim/days.py
@@ -104,10 +104,10 @@
 
     def _seated(self, p: Any) -> bool:
         p.core.now = p.clock(self.world.now)
-        return p.core.seat() >= 0
+        return p.core.slot() >= 0
 
     def _current(self, p: Any) -> bool:
-        return p.core.current()
+        return p.core.is_view_current()
 
     # --- faults ----------------------------------------------------------------------------------
 
--- a/rushweir/lab/sim/fleets.py
+++ b/rushweir/lab/sim/fleets.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushweir.fleet import orders as o
+from rushweir.fleet import commands
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.settings import FleetSettings
 from rushweir.lab.sim.world import Process, World
@@ -53,16 +53,16 @@
     # --- what must hold --------------------------------------------------------------------------
 
     def _told(self, p: Process, order: Any) -> None:
-        if type(order) is o.ViewChanged:
+        if type(order) is commands.ViewChanged:
             view = p.core.view
             digest, by = self.made.setdefault(view.number, (view.digest(), p.name))
             if digest != view.digest():
                 raise Broken(f"view {view.number} is one thing at {by} and another at {p.name}")
-            self._line(p, f"view {view.number} {sorted(view.seats)}")
-        elif type(order) is o.SeatChanged:
-            self._line(p, f"seat {order.number}")
+            self._line(p, f"view {view.number} {sorted(view.slots)}")
+        elif type(order) is commands.SlotChanged:
+            self._line(p, f"seat {order.slot}")
             self._only(p)
-        elif type(order) is o.Note:
+        elif type(order) is commands.LogEvent:
             self._line(p, f"{order.cause} {order.fields}")
 
     def _line(self, p: Process, text: str) -> None:
@@ -71,12 +71,12 @@
 
     def _look(self, p: Process) -> None:
         """After each turn of a process: it is alone in the chair, and alone on its number."""
-        if p.core.vote is not None and self._acts(p) and p.core.chair.holds():
+        if p.core.lease_acceptor is not None and self._acts(p) and p.core.leader_lease.is_held():
             for place in self.seeds:
                 other = self.world.at.get(place)
                 if other is not None and other is not p and self._acts(other) and self._holds(other):
                     raise Broken(f"{p.name} and {other.name} are both in the chair")
-        if p.core.number >= 0:
+        if p.core.assigned_slot >= 0:
             self._only(p)
 
     def _only(self, p: Process) -> None:
@@ -92,12 +92,12 @@
         return p.up and not p.stopped
 
     def _holds(self, p: Process) -> bool:
-        return p.clock(self.world.now) < p.core.chair.until
+        return p.clock(self.world.now) < p.core.leader_lease.expires_at
 
     def _seat(self, p: Process) -> int:
         """The number on which a process would act at this moment, without a change to it."""
         core, now = p.core, p.clock(self.world.now)
         was, core.now = core.now, now
-        n = core.number if core.number >= 0 and core.in_chair() else core.seat()
+        n = core.assigned_slot if core.assigned_slot >= 0 and core.is_leader() else core.slot()
         core.now = was
         return n
--- a/rushweir/lab/sim/noise.py
+++ b/rushweir/lab/sim/noise.py
@@ -14,8 +14,8 @@
 
 from rushweir.fleet import frame as f
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.drift import shortest
-from rushweir.fleet.members import CHAIR_ASKED, STALE_MS, STALE_PART, SUSPECT
+from rushweir.fleet.drift import min_under_drift
+from rushweir.fleet.members import LEADER_PROBES_PER_PERIOD, STALE_VIEW_MS, STALE_VIEW_SHARE, SUSPECT
 from rushweir.fleet.members import Members as Probes
 from rushweir.lab.sim.fleets import KEY, Members
 from rushweir.lab.sim.world import Process, World
@@ -49,7 +49,7 @@
 
 
 def safe_ms() -> float:
-    return shortest(KEEP_MS)
+    return min_under_drift(KEEP_MS)
 
 
 class Starved(Fleet):
@@ -60,19 +60,23 @@
         super().__init__(*arguments)
         self.members = StarvedProbes(self)
 
-    def may_spend(self) -> bool:
-        return self.budget.has(self.now)
+    def may_send(self) -> bool:
+        return self.message_budget.allows(self.now)
 
 
 class StarvedProbes(Probes):
-    def _ask_chair(self) -> None:
-        fleet, chair = self.fleet, self.fleet.chair_id()
-        if chair == fleet.me or fleet.age() <= min(STALE_MS, fleet.settings.view_ms * STALE_PART):
+    def _probe_leader(self) -> None:
+        fleet, chair = self.fleet, self.fleet.leader_id()
+        if chair == fleet.me or fleet.view_age() <= min(STALE_VIEW_MS, fleet.settings.view_ms * STALE_VIEW_SHARE):
             return
         known = self.known.get(chair)
-        if known is not None and known.state <= SUSPECT and self.rng.random() * self.count() < CHAIR_ASKED:
+        if (
+            known is not None
+            and known.state <= SUSPECT
+            and self.rng.random() * self.count() < LEADER_PROBES_PER_PERIOD
+        ):
             self.serial += 1
-            fleet.ping(f.PING, chair, self.serial)
+            fleet.send_probe(f.PROBE, chair, self.serial)
 
 
 def play(seed: int, scene: Scene, kind: Callable[..., Fleet] = Fleet) -> Found:
@@ -87,13 +91,13 @@
         """After each turn: what an ingress does that has its number from the fleet."""
         k, core = places[p.name], p.core
         core.now = p.clock(world.now)
-        seat = core.seat()
+        seat = core.slot()
         if k not in numbers:
             if seat >= 0:
                 numbers[k] = seat
             return
         if world.now > CALM_MS:
-            found.longest[k] = max(found.longest.get(k, 0.0), core.now - core.seated_at)
+            found.longest[k] = max(found.longest.get(k, 0.0), core.now - core.slot_confirmed_at)
         if seat != numbers[k]:
             found.ended.append(k)
             world.kill(p.name)
@@ -101,7 +105,7 @@
     def mail() -> None:
         for p in fleet.up():
             p.core.now = p.clock(world.now)
-            p.core.mail(scene.mail * MAIL_MS / 1000)
+            p.core.charge_peer_messages(scene.mail * MAIL_MS / 1000)
         world.later(MAIL_MS, mail)
 
     world.after.append(look)
--- a/rushweir/lab/sim/plants.py
+++ b/rushweir/lab/sim/plants.py
@@ -8,31 +8,31 @@
 
 from __future__ import annotations
 
-from rushweir.fleet import seating
-from rushweir.fleet.chair import Chair, Vote
+from rushweir.fleet import view_manager
 from rushweir.fleet.core import Fleet
+from rushweir.fleet.leader_lease import LeaderLease, LeaseAcceptor
 from rushweir.fleet.settings import FleetSettings
 from rushweir.fleet.views import View
 
 
-class Hasty(Chair):
-    def accepted(self, voter: int, ballot: int, ok: bool) -> None:
-        held = self.until
-        super().accepted(voter, ballot, ok)
-        if self.until > held:
-            self.until = self.fleet.now + 1.05 * self.term
+class Hasty(LeaderLease):
+    def on_accept(self, voter: int, ballot: int, ok: bool) -> None:
+        held = self.expires_at
+        super().on_accept(voter, ballot, ok)
+        if self.expires_at > held:
+            self.expires_at = self.fleet.now + 1.05 * self.lease_ms
 
 
-class Eager(Vote):
+class Eager(LeaseAcceptor):
     def __init__(self, now: float, term_ms: float) -> None:
         super().__init__(now, term_ms)
         self.silent_until = now
 
 
-class Generous(seating.Seating):
-    def _next_view(self) -> None:
+class Generous(view_manager.ViewManager):
+    def _propose_next(self) -> None:
         self.lost_at = {n: -1e12 for n in self.lost_at}
-        super()._next_view()
+        super()._propose_next()
 
 
 class Planted(Fleet):
@@ -41,26 +41,26 @@
     def __init__(self, kind: str, settings: FleetSettings, key: bytes, seed: int, now: float, kept: bytes | None):
         super().__init__(settings, key, seed, now, None if kind == "forgetful" else kept)
         self.kind = kind
-        if self.vote is None:
+        if self.lease_acceptor is None:
             return
         if kind == "eager":
-            self.vote = Eager(now, settings.chair_ms)
-            self.chair = Chair(self, self.vote)
+            self.lease_acceptor = Eager(now, settings.leader_lease_ms)
+            self.leader_lease = LeaderLease(self, self.lease_acceptor)
         elif kind == "hasty":
-            self.chair = Hasty(self, self.vote)
+            self.leader_lease = Hasty(self, self.lease_acceptor)
         elif kind == "lone":
-            self.chair.majority = 1
+            self.leader_lease.majority = 1
         elif kind == "generous":
-            self.seating = Generous(self, self.seating.kept if kept else View())
+            self.view_manager = Generous(self, self.view_manager.stored if kept else View())
 
-    def learn_age(self, sender: int, number: int, view: int, age: int) -> None:
+    def learn_view_age(self, sender: int, number: int, view: int, age: int) -> None:
         if self.kind == "trusting" and view == self.view.number:
-            self.sure_at = max(self.sure_at, self.now)
-            self._seated()
-        super().learn_age(sender, number, view, age)
+            self.view_confirmed_at = max(self.view_confirmed_at, self.now)
+            self._update_slot()
+        super().learn_view_age(sender, number, view, age)
 
-    def seat(self) -> int:
-        return self.number if self.kind == "endless" else super().seat()
+    def slot(self) -> int:
+        return self.assigned_slot if self.kind == "endless" else super().slot()
 
 
 KINDS = ("hasty", "eager", "lone", "forgetful", "generous", "trusting", "endless")
--- a/rushweir/lab/sim/shared_days.py
+++ b/rushweir/lab/sim/shared_days.py
@@ -6,13 +6,17 @@
 from typing import Any
 
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import UNIT, Whole
+from rushweir.budgets.records import UNIT, BudgetTotal
 from rushweir.fleet.core import Fleet
 from rushweir.lab.sim.days import QUIET_MS, Day, Size, Step
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.spenders import Sharers
 
-WHOLES = {"wide": Whole.of(40, 60), "narrow": Whole.of(6, 9), "some": Whole.of(20, 30, 0.4, 3, 7)}
+WHOLES = {
+    "wide": BudgetTotal.from_units(40, 60),
+    "narrow": BudgetTotal.from_units(6, 9),
+    "some": BudgetTotal.from_units(20, 30, 0.4, 3, 7),
+}
 MOVES_MS = 9_000.0  # the busiest place is another one
 SERVED_PART = 0.25  # of what one bucket would have served, once all is calm: what homes keep is not spent here
 
--- a/rushweir/lab/sim/spenders.py
+++ b/rushweir/lab/sim/spenders.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.records import NOTHING, UNIT, Part, PartChanged, Whole
+from rushweir.budgets.records import NO_SHARE, UNIT, BudgetTotal, Share, ShareChanged
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.settings import FleetSettings
 from rushweir.lab.sim.fleets import KEY, Broken, Members
@@ -25,7 +25,7 @@
     """A part as a spender uses it; it begins empty."""
 
     def __init__(self, now: float) -> None:
-        self.part, self.level, self.at = NOTHING, 0.0, now
+        self.part, self.level, self.at = NO_SHARE, 0.0, now
         self.spilled = 0.0  # what there was no room for, in all
 
     def fill(self, now: float) -> None:
@@ -33,7 +33,7 @@
         self.spilled += max(0.0, level - most)
         self.level, self.at = min(most, level), now
 
-    def change(self, now: float, part: Part, add: int) -> None:
+    def change(self, now: float, part: Share, add: int) -> None:
         self.fill(now)
         self.part = part
         self.level = min(float(part.burst), self.level + add)
@@ -51,11 +51,11 @@
 
     def __init__(self, fleet: Fleet, budgets: Budgets, spent: Callable[[str, int], None]) -> None:
         self.fleet, self.budgets, self.spent = fleet, budgets, spent
-        self.orders: deque = fleet.orders
+        self.commands: deque = fleet.commands
         self.buckets: dict[str, Bucket] = {}
         self.looked_at = -1e9  # in true time: when what all may spend was summed up last
         self.changed = False
-        budgets.bucket = self._bucket
+        budgets.bucket_state = self._bucket
         self.counts: Counter[str] = Counter()
 
     def start(self, now: float) -> None:
@@ -75,14 +75,14 @@
         self.fleet.datagram(now, data)
         self._take(now)
 
-    def kept(self, now: float, serial: int) -> None:
+    def file_saved(self, now: float, serial: int) -> None:
         self._turn(now)
-        self.fleet.kept(now, serial)
+        self.fleet.file_saved(now, serial)
 
-    def want(self, now: float, name: str, whole: Whole, amount: int) -> bool:
+    def want(self, now: float, name: str, whole: BudgetTotal, amount: int) -> bool:
         """A request: served if its part has the amount."""
         self._turn(now)
-        self.budgets.demand(now, name, whole, amount)
+        self.budgets.record_demand(now, name, whole, amount)
         self._take(now)
         bucket = self.buckets.get(name)
         self.counts["asked"] += amount
@@ -107,22 +107,22 @@
 
     def _turn(self, now: float) -> None:
         self.fleet.now = now
-        self.budgets.turn(now)
+        self.budgets.expire_leases(now)
         self._take(now)
 
     def _take(self, now: float) -> None:
         changes, self.budgets.changes = self.budgets.changes, []
         self.changed |= bool(changes)
         for c in changes:
-            assert isinstance(c, PartChanged)
-            if c.kept:
+            assert isinstance(c, ShareChanged)
+            if c.retained_key:
                 continue  # nobody asks a keeper here: what it has counts in the sums, and is not spent
-            self.buckets.setdefault(c.name, Bucket(now)).change(now, c.part, c.add)
+            self.buckets.setdefault(c.name, Bucket(now)).change(now, c.share, c.added_tokens)
 
     # the world looks at the member
     @property
-    def vote(self) -> Any:
-        return self.fleet.vote
+    def lease_acceptor(self) -> Any:
+        return self.fleet.lease_acceptor
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.fleet, name)
@@ -131,7 +131,7 @@
 class Meter:
     """One ideal bucket that sees all that is spent, in true time: how far they were beyond it at worst."""
 
-    def __init__(self, whole: Whole) -> None:
+    def __init__(self, whole: BudgetTotal) -> None:
         self.whole, self.debt, self.at, self.worst = whole, 0.0, 0.0, 0.0
         self.rate, self.burst = whole.rate, whole.burst
 
@@ -146,15 +146,17 @@
 
     def __init__(self, world: World, seeds: int, most: int, drift: float = 0.0, **settings: Any) -> None:
         super().__init__(world, seeds, most, drift, **settings)
-        self.wholes: dict[str, Whole] = {}
+        self.wholes: dict[str, BudgetTotal] = {}
         self.meters: dict[str, Meter] = {}
-        self.settings_of: dict[tuple[int, str], Whole] = {}  # at a place, where they are others than the first ones
-        self.acts: dict[tuple[Any, str], Whole] = {}  # what a place acts on, as it was asked last
+        self.settings_of: dict[
+            tuple[int, str], BudgetTotal
+        ] = {}  # at a place, where they are others than the first ones
+        self.acts: dict[tuple[Any, str], BudgetTotal] = {}  # what a place acts on, as it was asked last
         self.term = TERM_MS
         self.budgets: Callable[[Fleet], Budgets] = lambda fleet: Budgets(fleet, self.term)
         world.after.append(self._sum)
 
-    def share(self, name: str, whole: Whole) -> None:
+    def share(self, name: str, whole: BudgetTotal) -> None:
         self.wholes[name] = whole
         self.meters[name] = Meter(whole)
 
@@ -199,17 +201,17 @@
             if rate > whole.rate or burst > whole.burst:
                 raise Broken(f"{name}: parts of {rate} and {burst} of a whole of {whole.rate} and {whole.burst}")
 
-    def largest(self, name: str) -> Whole:
+    def largest(self, name: str) -> BudgetTotal:
         """Of what processes act on: settings are read anew by one after the other."""
         up = [p.name for p in self.world.at.values() if p.up]
         return max((self.acts.get((n, name), self.wholes[name]) for n in up), key=lambda w: (w.rate, w.burst))
 
-    def _part(self, p: Process, name: str) -> Part:
+    def _part(self, p: Process, name: str) -> Share:
         core, now = p.core, p.clock(self.world.now)
         fleet, was = core.fleet, core.fleet.now
         fleet.now = now
-        seated = fleet.number if fleet.number >= 0 and fleet.in_chair() else fleet.seat()
-        part = core.budgets.part(now, name) if seated >= 0 or name in core.buckets else NOTHING
-        part += core.budgets.kept(now, name)
+        seated = fleet.assigned_slot if fleet.assigned_slot >= 0 and fleet.is_leader() else fleet.slot()
+        part = core.budgets.share(now, name) if seated >= 0 or name in core.buckets else NO_SHARE
+        part += core.budgets.retained_share(now, name)
         fleet.now = was
         return part
--- a/rushweir/lab/sim/world.py
+++ b/rushweir/lab/sim/world.py
@@ -15,7 +15,7 @@
 from heapq import heappop, heappush
 from typing import Any, Protocol
 
-from rushweir.fleet import orders as o
+from rushweir.fleet import commands
 
 QUEUE = 400  # datagrams that wait for a process that is stopped
 DISK_MS = (1.0, 12.0)
@@ -24,7 +24,7 @@
 class Runs(Protocol):
     """What a process of the world runs: a core with calls and orders."""
 
-    orders: deque
+    commands: deque
 
     def start(self, now: float) -> None: ...
 
@@ -34,7 +34,7 @@
 
     def datagram(self, now: float, data: bytes) -> None: ...
 
-    def kept(self, now: float, serial: int) -> None: ...
+    def file_saved(self, now: float, serial: int) -> None: ...
 
 
 @dataclass(slots=True)
@@ -136,12 +136,12 @@
 
     def _turned(self, p: Process) -> None:
         """Carry out the orders of a process that did something."""
-        orders = p.core.orders
+        orders = p.core.commands
         while orders:
             order = orders.popleft()
-            if type(order) is o.SendTo:
+            if type(order) is commands.SendTo:
                 self._send(p.name, order.address, order.data)
-            elif type(order) is o.KeepFile:
+            elif type(order) is commands.SaveFile:
                 self.later(self.rng.uniform(*DISK_MS), self._written, p, order)
             else:
                 for watch in self.watchers:
@@ -160,12 +160,12 @@
         if p.wake_at <= self.now:
             self._wake(p, p.wake)
 
-    def _written(self, p: Process, order: o.KeepFile) -> None:
+    def _written(self, p: Process, order: commands.SaveFile) -> None:
         if p.up and p.stopped:
             self.later(5.0, self._written, p, order)
         elif p.up:
             self.disks[p.name] = order.data
-            p.core.kept(p.clock(self.now), order.serial)
+            p.core.file_saved(p.clock(self.now), order.serial)
             self._turned(p)
 
     # --- network ---------------------------------------------------------------------------------
--- a/tests/budgets/test_division.py
+++ b/tests/budgets/test_allocation.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushweir.budgets.division import divide, floor_of, settled, split
+from rushweir.budgets.allocation import divide, floor_of, settled, split
 
 DEMANDS = st.dictionaries(st.integers(0, 400), st.integers(0, 50_000), max_size=40)
 
--- a/tests/budgets/test_handover.py
+++ b/tests/budgets/test_handoff.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from rushweir.budgets.handover import AGAIN_MS, MOST_PAGES, HandOver, follows
-from rushweir.budgets.records import Whole
+from rushweir.budgets.handoff import AGAIN_MS, MOST_PAGES, HandOver, follows
+from rushweir.budgets.records import BudgetTotal
 from rushweir.fleet.views import SEED_BITS, View
 
-KEY, SCOPE, TERM = 7, Whole.of(10, 10), 2_000.0
+KEY, SCOPE, TERM = 7, BudgetTotal.from_units(10, 10), 2_000.0
 ROWS = [[2**62 + k, 9_000 + k, 70_000, 90_000, 1_900] for k in range(12)]
 
 
--- a/tests/budgets/test_rules.py
+++ b/tests/budgets/test_rules.py
@@ -5,9 +5,9 @@
 import pytest
 
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.lending import MASK
-from rushweir.budgets.records import Whole, key_of
-from rushweir.fleet.seating import PUTTING
+from rushweir.budgets.leasing import MASK
+from rushweir.budgets.records import BudgetTotal, budget_key
+from rushweir.fleet.view_manager import PUTTING
 from rushweir.lab.sim.budget_plants import Planted
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.spenders import Sharers
@@ -16,8 +16,8 @@
 
 COUNT, TERM_MS = 6, 2_000.0
 # Of this budget the next number that is given is the home.
-NAME = next(n for n in map(str, range(100)) if rendezvous(key_of(n) & MASK, set(range(COUNT + 1)), 1)[0] == COUNT)
-WHOLE, HALF = Whole.of(40, 60), Whole.of(20, 30)
+NAME = next(n for n in map(str, range(100)) if rendezvous(budget_key(n) & MASK, set(range(COUNT + 1)), 1)[0] == COUNT)
+WHOLE, HALF = BudgetTotal.from_units(40, 60), BudgetTotal.from_units(20, 30)
 SETTINGS = {"keep_ms": 12_000.0, "view_ms": 3_000.0}
 
 
@@ -42,7 +42,7 @@
         self.world.later(self.world.rng.expovariate(20.0) * 1000, self._asks, k)
 
     def home(self, p) -> int:
-        return p.core.budgets.home_of(key_of(NAME), WHOLE)
+        return p.core.budgets.owner_of(budget_key(NAME), WHOLE)
 
     def place(self, id_: int) -> int:
         return next(k for k in range(2 * COUNT) if (p := self.world.at.get(self.fleet.place(k))) and
@@ -60,13 +60,13 @@
     """A member joins and becomes the home; while its view is put the old home is cut off, with one holder. Whether
     that came about, which it can't where the old home is in the chair; raises Broken."""
     s = Scene(seed, kind)
-    chair = next(p for p in s.fleet.up() if p.core.vote is not None and p.core.chair.holds())
+    chair = next(p for p in s.fleet.up() if p.core.lease_acceptor is not None and p.core.leader_lease.is_held())
     old = s.place(s.home(chair))
     other = next(k for k in range(COUNT - 1, 0, -1) if k != old)  # no seed: two of three are on the chair's side
     if s.world.at[s.fleet.place(old)] is chair:
         return False
     s.fleet.start(COUNT)
-    while chair.core.seating.state != PUTTING:
+    while chair.core.view_manager.state != PUTTING:
         s.world.run(s.world.now + 0.2)
     s.cut({old, other})
     s.world.run(s.world.now + 3 * TERM_MS)
@@ -141,10 +141,12 @@
     is the home again while parts of the other are still held: the term is longer than it takes to miss a member. Two
     of the others ask meanwhile, and the rest from then on. Raises Broken."""
     s = Scene(seed, kind, 5_000.0)
-    chair = next(p for p in s.fleet.up() if p.core.vote is not None and p.core.chair.holds())
+    chair = next(p for p in s.fleet.up() if p.core.lease_acceptor is not None and p.core.leader_lease.is_held())
     old = s.home(chair)
     s.cut({s.place(old)})
-    while s.home(chair) == old or not any(p.core.budgets.keeping for p in s.fleet.up() if p.core.fleet.me != old):
+    while s.home(chair) == old or not any(
+        p.core.budgets.retained_shares for p in s.fleet.up() if p.core.fleet.me != old
+    ):
         s.world.run(s.world.now + 100.0)
     between = s.home(chair)
     rest = [k for k in range(COUNT) if s.world.at[s.fleet.place(k)].core.fleet.me not in (old, between)]
@@ -165,7 +167,7 @@
     found = []
     for seed in range(6):
         s = Scene(seed)
-        chair = next(p for p in s.fleet.up() if p.core.vote is not None and p.core.chair.holds())
+        chair = next(p for p in s.fleet.up() if p.core.lease_acceptor is not None and p.core.leader_lease.is_held())
         if s.home(chair) != chair.core.fleet.me:
             found.append(seed)
     return found
--- a/tests/fleet/test_cuts.py
+++ b/tests/fleet/test_cuts.py
@@ -37,7 +37,7 @@
     world.net.loss, world.net.delay_ms = 0.01, (2.0, 3.0)
     for k in range(count):
         fleet.start(k)
-    while len({p.core.view.number for p in fleet.up()}) > 1 or any(p.core.number < 0 for p in fleet.up()):
+    while len({p.core.view.number for p in fleet.up()}) > 1 or any(p.core.assigned_slot < 0 for p in fleet.up()):
         world.run(world.now + 100.0)
         assert world.now < 60_000.0
     world.run(world.now + world.rng.uniform(0.0, 400.0))
--- a/tests/fleet/test_frame.py
+++ b/tests/fleet/test_frame.py
@@ -18,8 +18,8 @@
 
 def test_a_datagram_arrives_once_and_only_where_it_was_sent():
     a, b = pair()
-    data = a.pack(f.PING, 2, [1, "x", b"y"])
-    assert b.unpack(data) == (f.PING, 1, [1, "x", b"y"])
+    data = a.pack(f.PROBE, 2, [1, "x", b"y"])
+    assert b.unpack(data) == (f.PROBE, 1, [1, "x", b"y"])
     assert b.unpack(data) is None and b.counts["dropped_replay"] == 1
     assert f.Frames(3, KEY, 8).unpack(data) is None
     assert a.unpack(data) is None and a.counts["dropped_own"] == 1
@@ -41,7 +41,7 @@
 
 def test_datagrams_that_overtake_each_other_are_all_taken_within_the_window():
     a, b = pair()
-    sent = [a.pack(f.PING, 2, [k]) for k in range(f.WINDOW + 10)]
+    sent = [a.pack(f.PROBE, 2, [k]) for k in range(f.WINDOW + 10)]
     assert b.unpack(sent[-1]) is not None
     assert b.unpack(sent[-f.WINDOW]) is not None and b.unpack(sent[-2]) is not None
     assert b.unpack(sent[0]) is None and b.unpack(sent[-2]) is None
@@ -50,7 +50,7 @@
 def test_senders_remembered_are_bounded():
     b = f.Frames(99, KEY, 8)
     for k in range(1, 40):
-        assert b.unpack(f.Frames(k, KEY, 8).pack(f.PING, 99, [k])) is not None
+        assert b.unpack(f.Frames(k, KEY, 8).pack(f.PROBE, 99, [k])) is not None
     assert len(b.windows) == 8
 
 
@@ -58,7 +58,7 @@
 @given(st.integers(0, 60), st.integers(0, 7))
 def test_one_bit_spoils_a_datagram(where, bit):
     a, b = pair()
-    data = bytearray(a.pack(f.PING, 2, [1, 2, [3, "four"]]))
+    data = bytearray(a.pack(f.PROBE, 2, [1, 2, [3, "four"]]))
     data[where % len(data)] ^= 1 << bit
     assert b.unpack(bytes(data)) is None
 
--- a/tests/fleet/test_noise.py
+++ b/tests/fleet/test_noise.py
@@ -51,7 +51,7 @@
     for k in range(3):
         fleet.start(k)
     world.run(15_000.0)
-    first = next(k for k in range(3) if not fleet.fleet(k).chair.holds())
+    first = next(k for k in range(3) if not fleet.fleet(k).leader_lease.is_held())
     world.net.cut |= {(Members.place(k), Members.place(first)) for k in range(6) if k != first}
     fleet.start(3)
     world.run(17_000.0)
@@ -79,7 +79,7 @@
     for k in range(3):
         fleet.start(k)
     world.run(15_000.0)
-    member = next(fleet.fleet(k) for k in range(3) if not fleet.fleet(k).chair.holds())
+    member = next(fleet.fleet(k) for k in range(3) if not fleet.fleet(k).leader_lease.is_held())
     sender = next(m.id for m in member.members.alive())
     member.exchange.heard(sender, 1 << 40)
     assert member.exchange.catch_up() and not member.exchange.catch_up()
@@ -93,17 +93,17 @@
     for k in range(4):
         fleet.start(k)
     world.run(15_000.0)
-    lost, chair = fleet.fleet(3), next(fleet.fleet(k) for k in range(3) if fleet.fleet(k).chair.holds())
+    lost, chair = fleet.fleet(3), next(fleet.fleet(k) for k in range(3) if fleet.fleet(k).leader_lease.is_held())
 
     def until_lost(member: Fleet) -> None:
-        while member.view.seats[lost.number].state != LOST:
+        while member.view.slots[lost.assigned_slot].state != LOST:
             world.run(world.now + 100.0)
             assert world.now < 30_000.0
 
     world.net.cut |= {(Members.place(3), Members.place(k)) for k in range(3)}
     until_lost(chair)
     world.net.cut.clear()
-    monkeypatch.setattr("rushweir.fleet.seating.Seating.wish", lambda *_: None)  # what it asks is lost
+    monkeypatch.setattr("rushweir.fleet.view_manager.ViewManager.wish", lambda *_: None)  # what it asks is lost
     until_lost(lost)
     asked = []
     send = Fleet.send
--- a/tests/fleet/test_serve.py
+++ b/tests/fleet/test_serve.py
@@ -52,7 +52,10 @@
 def test_settings_of_a_member(base):
     made = settings(base, PEERS % 9001 + FLEET % "term 4s\n    keep 1m")
     fleet = made.fleet()
-    assert fleet.seeds == (fleet.address,) == (("127.0.0.1", 9001),) and (fleet.most, fleet.wanted) == (12, -1)
+    assert fleet.seeds == (fleet.address,) == (("127.0.0.1", 9001),) and (fleet.slot_count, fleet.wanted_slot) == (
+        12,
+        -1,
+    )
     assert (fleet.view_ms, fleet.keep_ms, fleet.voter, made.me) == (4000.0, 60_000.0, 0, -1)
     sharing = made.settings().sharing
     assert sharing.messages_per_s == 33.0 and sharing.lent  # of 60; the fleet and its budgets have the rest
--- a/tests/fleet/test_sketch.py
+++ b/tests/fleet/test_sketch.py
@@ -24,7 +24,7 @@
     def differs(self, sender: int, digest: bytes, answer: bool) -> None:
         if not answer and len(self.fleet.table.differing(digest)) > PARTS / 4:
             super().differs(sender, digest, True)
-            if self.fleet.may_spend():
+            if self.fleet.may_send():
                 self._send_digest(sender, True)
         else:
             super().differs(sender, digest, answer)
@@ -39,7 +39,7 @@
         fleet.start(k)
     while (
         len({p.core.view.number for p in fleet.up()}) > 1
-        or any(p.core.number < 0 or p.core.members.count() < count for p in fleet.up())
+        or any(p.core.assigned_slot < 0 or p.core.members.count() < count for p in fleet.up())
     ):  # fmt: skip
         world.run(world.now + 100.0)
         assert world.now < 120_000.0
@@ -79,4 +79,4 @@
     a, b = fleet.fleet(0), fleet.fleet(1)
     before = a.table.digest()
     a.datagram(a.now, b.frames.pack(f.SKETCH, a.me, body))
-    assert a.table.digest() == before and sum(type(x).__name__ == "SendTo" for x in a.orders) <= 6
+    assert a.table.digest() == before and sum(type(x).__name__ == "SendTo" for x in a.commands) <= 6
--- a/tests/fleet/test_table.py
+++ b/tests/fleet/test_table.py
@@ -66,7 +66,7 @@
     assert not t.put(LOAD, 1, 1, b"12345") and not t.put(77, 1, 1, b"") and not t.put(LOAD, 5, 1, b"")
     for k in range(10):
         t.put(MEMBER, k, 1, b"")
-    assert len(t.of(MEMBER)) == 3 and t.refused == 10
+    assert len(t.entries_of(MEMBER)) == 3 and t.refused == 10
     assert t.put(MEMBER, 0, 2, b"new")  # one that is there may always be renewed
 
 
--- a/tests/fleet/test_views.py
+++ b/tests/fleet/test_views.py
@@ -5,10 +5,10 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from rushweir.fleet.chair import Vote
-from rushweir.fleet.drift import DRIFT, longest, shortest
-from rushweir.fleet.seating import KeptError, Pages, applied, changed, dump, load
-from rushweir.fleet.views import LOST, SEATED, Seat, View, Wish, allot, next_number, seat
+from rushweir.fleet.drift import DRIFT, max_under_drift, min_under_drift
+from rushweir.fleet.leader_lease import LeaseAcceptor
+from rushweir.fleet.view_manager import Pages, StoredViewError, applied, changed, dump, load
+from rushweir.fleet.views import ACTIVE, LOST, Seat, View, Wish, allot, next_number, seat
 
 MOST = 6
 
@@ -17,7 +17,7 @@
     return f"10.0.0.{k}", 7946
 
 
-HOLDERS = st.tuples(st.integers(1, 9), st.sampled_from([SEATED, LOST]))
+HOLDERS = st.tuples(st.integers(1, 9), st.sampled_from([ACTIVE, LOST]))
 SEATS = st.dictionaries(st.integers(0, MOST - 1), HOLDERS, max_size=6)
 seats_of = lambda d: {n: Seat(i * 100 + n, place(i * 10 + n), s) for n, (i, s) in d.items()}  # noqa: E731
 WISHES = st.lists(st.tuples(st.integers(1, 60), st.integers(1, 60), st.integers(-1, MOST)), max_size=8)
@@ -83,7 +83,7 @@
     for bad in (b"", data[:-2], b"\x93\x01\x02\x90\x00", b"\x93\x02" + data[2:], b"text"):
         try:
             load(bad)
-        except KeptError:
+        except StoredViewError:
             continue
         raise AssertionError(bad)
 
@@ -102,9 +102,9 @@
 
 
 def test_a_vote_is_given_to_one_at_a_time_and_to_nobody_after_a_start():
-    v = Vote(0.0, 3000.0)
+    v = LeaseAcceptor(0.0, 3000.0)
     assert v.prepare(3000.0, 8) is None and v.propose(10.0, 8, 5) is None
-    now = longest(3000.0) + 1
+    now = max_under_drift(3000.0) + 1
     assert v.prepare(now, 8) == (True, 0) and v.propose(now, 8, 5) is True
     assert v.prepare(now, 17) == (True, 5)  # 17 learns who has it, and may not go on
     assert v.prepare(now, 16) == (False, 0) and v.propose(now, 8, 6) is False
@@ -118,4 +118,7 @@
 
 def test_a_right_is_over_where_it_was_given_to_before_it_is_over_where_it_came_from():
     for slow, fast in ((1 - DRIFT, 1 + DRIFT), (1 + DRIFT, 1 - DRIFT)):
-        assert shortest(1000.0) / slow <= 1000.0 / fast + 1e-9 and longest(1000.0) / fast >= 1000.0 / slow - 1e-9
+        assert (
+            min_under_drift(1000.0) / slow <= 1000.0 / fast + 1e-9
+            and max_under_drift(1000.0) / fast >= 1000.0 / slow - 1e-9
+        )
--- a/tests/lab/scale/test_events.py
+++ b/tests/lab/scale/test_events.py
@@ -51,7 +51,7 @@
     """Has something to do again and again, and hears from nobody."""
 
     def __init__(self, now: float) -> None:
-        self.orders, self.rng, self.at, self.turns = deque(), random.Random(now), now, 0
+        self.commands, self.rng, self.at, self.turns = deque(), random.Random(now), now, 0
 
     def start(self, now: float) -> None: ...
 
--- a/tests/lab/scale/test_scene.py
+++ b/tests/lab/scale/test_scene.py
@@ -40,7 +40,7 @@
     assert shared == [tenant(k) for k in range(9)]
     assert all(partners[name].through[1] == 9 for name in shared)
     assert {p.plan for p in partners.values()} == {"ceiling", "large", "middle", "small"}
-    assert config.fleet().most == 25
+    assert config.fleet().slot_count == 25
 
 
 def test_a_tail_is_heavy_and_all_ingresses_together_draw_by_it():
@@ -62,7 +62,7 @@
 
 def test_datagrams_are_told_apart_by_what_they_are_for():
     frames = f.Frames(5, b"k" * 16, 10)
-    kinds = {f.PING: "probe", f.ROWS: "table", f.JOIN: "join", f.ACCEPT: "chair", f.SEAT_ASK: "chair"}
+    kinds = {f.PROBE: "probe", f.ROWS: "table", f.JOIN: "join", f.ACCEPT: "chair", f.SEAT_ASK: "chair"}
     kinds[f.APP] = "budgets"
     for kind, name in kinds.items():
         assert kind_of(frames.pack(kind, 6, [1])) == name
--- a/tests/rollout/test_ceilings_lent.py
+++ b/tests/rollout/test_ceilings_lent.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from rushweir import interface as i
-from rushweir.budgets.records import Whole
+from rushweir.budgets.records import BudgetTotal
 from rushweir.ingress.websocket import let_go
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.spenders import TERM_MS, Sharers
@@ -21,10 +21,12 @@
 WAYS = [(0, 0), (0, 1), (1, 1), (0, 2), (2, 2), (1, 3), (3, 2)]
 
 
-def whole(plan: i.Plan, doors: Doors) -> Whole:
+def whole(plan: i.Plan, doors: Doors) -> BudgetTotal:
     """As a member asks for it."""
     floor = 1.0 if plan.name.startswith(CLOSED) else FLOOR
-    return Whole.of(plan.ceiling_rate, plan.ceiling_burst, floor, *(doors if doors[1] % COUNT else (0, 0)))
+    return BudgetTotal.from_units(
+        plan.ceiling_rate, plan.ceiling_burst, floor, *(doors if doors[1] % COUNT else (0, 0))
+    )
 
 
 class Fleet:
@@ -105,12 +107,12 @@
 @given(st.integers(0, 99), FIGURES, FIGURES, st.permutations(range(COUNT)))
 def test_other_figures_of_a_plan_are_lent_within_the_larger(seed, old, new, order):
     made = Fleet(seed, (0, 0), plan=replace(PLAN, ceiling_rate=old[0], ceiling_burst=old[1]))
-    made.fleet.share("a", Whole.of(max(old[0], new[0]), max(old[1], new[1])))
+    made.fleet.share("a", BudgetTotal.from_units(max(old[0], new[0]), max(old[1], new[1])))
     for k in order:
-        made.acts[k] = Whole.of(*new, FLOOR)
+        made.acts[k] = BudgetTotal.from_units(*new, FLOOR)
         made.world.run(made.world.now + STEP_MS)
     made.world.run(made.world.now + OVER_TERMS * TERM_MS)
-    made.fleet.share("a", Whole.of(*new))  # and within the new, once all act on it and the old is over
+    made.fleet.share("a", BudgetTotal.from_units(*new))  # and within the new, once all act on it and the old is over
     made.world.run(made.world.now + 4_000.0)
     assert made._served() > 0
 
