--- a/rushweir/lab/sim/control_world.py
+++ b/rushweir/lab/sim/control_world.py
@@ -36,8 +36,13 @@
     """A control process as the world runs it."""
 
     def __init__(self, core: Control) -> None:
-        self.core, self.orders = core, core.commands
-        self.start, self.next_at, self.advance, self.kept = core.start, core.next_at, core.advance, core.persisted
+        self.core, self.commands = core, core.commands
+        self.start, self.next_at, self.advance, self.file_saved = (
+            core.start,
+            core.next_at,
+            core.advance,
+            core.persisted,
+        )
         self.compacted = core.compacted
 
     def datagram(self, now: float, data: Any) -> None:
@@ -269,7 +274,7 @@
             case Place(fold):
                 self._told(p, p.core.compacted, fold.serial)
             case Append() | Rewrite() as write:
-                self._told(p, p.core.kept, write.serial)
+                self._told(p, p.core.file_saved, write.serial)
 
     def _told(self, p: Process, what: Callable[[float, int], None], serial: int) -> None:
         if p.up and p.stopped:
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -22,7 +22,7 @@
     assert 1900 < int(out.split(b"Req-Deadline-Ms: ")[1].split(b"\r\n")[0]) < 2000
     edge.receive(backend_conn, answer(b"done"))
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"\r\n\r\ndone")
-    assert not edge.core.engine.ledger.entries and not edge.core.parts.shared.open
+    assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open
 
 
 BAD = {
@@ -142,7 +142,7 @@
 
 
 def test_full_ingress_closes_silent_clients_for_new_ones():
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     busy, _ = edge.send_request()
     silent = [edge.connect() for _ in range(3)]
     edge.advance_ms(100.0)
@@ -163,7 +163,7 @@
     conn, backend_conn = edge.send_request()
     edge.core.ended(edge.now, conn)
     edge.receive(backend_conn, answer())
-    assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.parts.shared.open
+    assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.components.shared.open
 
 
 def test_health_page_depends_on_having_a_list():
@@ -176,7 +176,7 @@
 def test_stopping_ingress_serves_new_requests_and_closes_idle_clients(edge):
     conn, backend_conn = edge.send_request()
     idle = edge.connect()
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.receive(backend_conn, answer())
     assert edge.statuses(conn) == [200] and b"Connection: close" in edge.written(conn) and conn in edge.closed
@@ -190,12 +190,12 @@
 def test_request_ids_of_a_lost_connection_are_released(edge):
     conn, _ = edge.send_request()
     edge.core.ended(edge.now, conn)
-    assert isinstance(edge.core.parts.shared, Shared) and not edge.core.parts.shared.open
+    assert isinstance(edge.core.components.shared, Shared) and not edge.core.components.shared.open
 
 
 def test_rejected_connections_make_room_for_new_requests():
     """Those turned away lingered above the bound, one went for each newcomer, and so all newcomers were refused."""
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     for _ in range(20):  # at once: none is old enough to go
         edge.connect()
     assert edge.core.counts["turned_away"] > 0
@@ -207,7 +207,7 @@
 
 def test_clients_idle_after_one_request_do_not_block_new_ones():
     """They counted as in use for 2 s, and newcomers, each with a request, were turned away into retries (r03c8f5)."""
-    edge = Edge(most_clients=4)
+    edge = Edge(max_clients=4)
     for n in range(20):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
         edge.receive(backend_conn, answer())
@@ -234,16 +234,16 @@
         edge.receive(backend_conn, answer())
         open_now.append(conn)
     assert [conn in edge.closed for conn in open_now] == [False] * 3 + [True] * 3
-    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.parts.shared.spoken == 3
+    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.components.shared.spoken == 3
     for conn in open_now:
         edge.core.ended(edge.now, conn)
-    assert edge.core.parts.shared.spoken == 0
+    assert edge.core.components.shared.spoken == 0
 
 
 def test_pipelined_requests_are_answered_before_a_stopping_ingress_closes(edge):
     """The answer to the first said that the connection closes, and took the second along."""
     conn, backend_conn = edge.send_request(request("one") + request("two"))
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.receive(backend_conn, answer(b"1"))
     edge.advance_ms(REST_MS)
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
 def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
     """From its first byte on a request is waited for, and served."""
-    edge, data = Edge(most_clients=3), booking("one")
+    edge, data = Edge(max_clients=3), booking("one")
     conn = edge.connect()
     if how != "nothing":
         edge.receive(conn, part(data, how))
@@ -44,7 +44,7 @@
         for _ in range(3):
             edge.connect()
     else:
-        edge.core.leave(edge.now, edge.core.setup.settings)
+        edge.core.drain_clients(edge.now, edge.core.setup.settings)
         edge.turn()
         if when != "told to end":
             edge.core.stop(edge.now)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("quiet", [0.0, 0.5 * QUIET_MS, 0.99 * QUIET_MS])
 def test_recent_connection_is_not_closed_for_a_new_one_which_gets_503(quiet):
-    edge = Edge(most_clients=3)
+    edge = Edge(max_clients=3)
     conns = [edge.connect() for _ in range(3)]
     edge.advance_ms(quiet)
     new = edge.connect()
@@ -74,7 +74,7 @@
 def test_new_connections_during_shutdown_are_answered(ms, quiet):
     """New connections come for up to 0.4 s, and one that came then is not closed for its quiet before 0.7 s."""
     edge = Edge()
-    edge.core.leave(edge.now, edge.core.setup.settings)
+    edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.advance_ms(ms)
     conn = edge.connect()
@@ -90,12 +90,12 @@
 
 
 def test_rejected_slow_and_malformed_clients_get_an_answer():
-    edge = Edge(most_clients=1)
+    edge = Edge(max_clients=1)
     edge.send_request()  # under way: it does not go
     away = edge.connect()
     assert edge.statuses(away) == [503]
     edge = Edge()
-    edge.core.overload.delay_ms = 10_000.0
+    edge.core.load_shedder.delay_ms = 10_000.0
     late = edge.connect()
     edge.receive(late, request())
     assert edge.statuses(late) == [503]
@@ -120,7 +120,7 @@
         live.clients += socks
         assert live.core.counts["accepted"] == 0
         await asyncio.sleep(0)  # the turn in which they are taken in
-        live.core.leave(live.shell.clock(), live.core.setup.settings)
+        live.core.drain_clients(live.shell.clock(), live.core.setup.settings)
         live.shell.carry_out()
         stopping = asyncio.create_task(live.shell.stop(3_000.0))
         statuses = [(await live.read(sock))[0] for sock in socks]
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_turned_away.py
@@ -11,7 +11,7 @@
 from rushweir import interface as i
 from rushweir.edge.backend_links import PoolSettings
 from rushweir.ingress import commands as c
-from rushweir.overload.decisions import BEAT_MS
+from rushweir.overload.decisions import SAMPLE_INTERVAL_MS
 from rushweir.policy.in_flight_capacity import AIM_SHARE, START_UNITS_PER_S
 from rushweir.policy.time_constants import MEMORY_MS
 from tests.edge.conftest import CLASSES, LIST, SETTINGS, Edge, answer, request
@@ -50,9 +50,9 @@
             self.advance_ms(10.0)
             due, self.due = [d for d in self.due if d[0] <= self.now], [d for d in self.due if d[0] > self.now]
             for _, what, conn in due:
-                if what == "up" and conn in self.core.ups:
+                if what == "up" and conn in self.core.upstream_handlers:
                     self.core.dialed(self.now, conn)
-                elif conn in self.core.ups:
+                elif conn in self.core.upstream_handlers:
                     self.core.received(self.now, conn, answer())
                 self.turn()
         moments = [began, *(t for t in self.sent_at if t >= began), end]
@@ -96,7 +96,7 @@
     edge.now += 20_000.0
     edge.core.advance(edge.now)
     edge.turn()
-    assert edge.core.overload.pressure == 1.0
+    assert edge.core.load_shedder.pressure == 1.0
     shut = edge.play(4_000.0)
     assert 500.0 < shut <= 2_000.0 + STEP_MS
 
@@ -104,19 +104,19 @@
 def test_requests_are_refused_while_the_loop_lags_and_accepted_two_seconds_later():
     edge = Busy(MADE)
     for _ in range(60):
-        edge.now += 500.0 + BEAT_MS  # each turn takes half a second
+        edge.now += 500.0 + SAMPLE_INTERVAL_MS  # each turn takes half a second
         edge.core.advance(edge.now)
         edge.turn()
     edge.sent_at.clear()
     edge.ask()
-    assert edge.core.counts["turned_away"] == 1 and edge.core.overload.pressure == 1.0
+    assert edge.core.counts["turned_away"] == 1 and edge.core.load_shedder.pressure == 1.0
     assert edge.play(4_000.0) <= 1_000.0 + STEP_MS
 
 
 def test_full_overload_refuses_requests_on_open_connections():
     edge = Busy(MADE)
     conn = edge.connect()
-    edge.core.overload.delay_ms = edge.core.overload.most
+    edge.core.load_shedder.delay_ms = edge.core.load_shedder.max_delay_ms
     edge.receive(conn, request())
     assert edge.statuses(conn) == [503] and edge.core.engine.refusals == {"overloaded": 1}
 
@@ -136,7 +136,7 @@
     edge.stuck = {b"stuck"}
     for k in range(3):
         edge.ask(rid=f"stuck{k}")
-    assert edge.core.engine.ledger.full()
+    assert edge.core.engine.ledger.is_full()
     assert edge.play(3_000.0) <= WITHIN + STEP_MS <= ALLOWED_MS
 
 
