--- a/rushweir/edge/backend_links.py
+++ b/rushweir/edge/backend_links.py
@@ -6,16 +6,18 @@
 from dataclasses import dataclass, field
 
 from rushweir.edge.http import AnswerReader
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 
 DIALING, IDLE, BUSY, GONE = "dialing", "idle", "busy", "gone"
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    most: int  # connections to all backends together
+    """Limits, time-outs and the probe of the backend pool."""
+
+    max_connections: int  # to all backends together
     connect_timeout_ms: float = 250.0
-    idle_ms: float = 15_000.0  # after which a backend closes an idle connection, at the latest
+    idle_ms: float = 15_000.0  # a backend closes an idle connection after this time at the latest
     probe_timeout_ms: float = 250.0
     probe_path: bytes = b"/ping"
     host: bytes = b"origin"
@@ -23,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a backend listens, and when it last started."""
+    """The address of a backend, and when it last started."""
 
     host: str
     port: int
@@ -32,6 +34,8 @@
 
 @dataclass(slots=True)
 class Probe:
+    """A health probe that has no result yet."""
+
     server: str
     sent_ms: float
 
@@ -39,22 +43,24 @@
 class Link:
     """One connection to a backend."""
 
-    __slots__ = ("backend", "conn", "endpoint", "idle_since", "job", "reader", "rests_until", "state", "unsent")
+    __slots__ = ("backend", "conn", "endpoint", "idle_since", "job", "reader", "cooldown_until", "state", "unsent")
 
     def __init__(self, conn: int, backend: Backend, now: float) -> None:
         self.conn, self.backend, self.state, self.idle_since = conn, backend, DIALING, now
-        self.endpoint, self.rests_until = backend.endpoint, now
-        self.job: c.Attempt | Probe | None = None
-        self.unsent = False  # bytes of the request are still on this side
+        self.endpoint, self.cooldown_until = backend.endpoint, now
+        self.job: commands.Attempt | Probe | None = None
+        self.unsent = False  # bytes of the request are still in this process
         self.reader = AnswerReader()
 
 
 @dataclass(slots=True)
 class Backend:
+    """A backend of the list, or one that left it and still has connections."""
+
     id: str
     endpoint: Endpoint
     ready: bool = True
-    idle: list[Link] = field(default_factory=list)  # the one used last at the end
+    idle: list[Link] = field(default_factory=list)  # the last used one is last
     links: set[Link] = field(default_factory=set)
-    dialing: int = 0
-    waiting: deque[c.Attempt | Probe] = field(default_factory=deque)
+    dialing: int = 0  # number of dials
+    waiting: deque[commands.Attempt | Probe] = field(default_factory=deque)
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -1,26 +1,26 @@
-"""Connections to backends over HTTP/1.1, without I/O: attempts in, writes and outcomes out.
+"""The pool of HTTP/1.1 connections to backends, without I/O: attempts in, writes and outcomes out.
 
-A backend is known by its id in the list, never by its address, which another may inherit. A connection carries one
-request at a time; the one used last is used again first, so that the others grow old and are closed. Attempts that
-find none wait for one that rests or is being opened, each for its own; what was not written never ran.
+A backend is identified by its id in the list, not by its address, which another backend may take over. A connection
+carries one request at a time. The one used last is reused first, so that the others reach their idle time and are
+closed. Attempts without a free connection wait for one that cools down or is being opened, one connection for each.
 
     dialing --dialed--> idle <--answer-- busy      any --> gone
                           +----write----->
 
-A connection that was just answered on rests for ``REST_MS`` first: a second answer to the request before may come
-some milliseconds late, and nothing in HTTP/1.1 says which request an answer is for. Connections and dials belong to
-where a backend listened and to its start: once it moved or started anew they carry nothing more, and what waited is
-decided anew.
+After an answer a connection is not reused for ``COOLDOWN_MS``: a duplicate of the answer may arrive some milliseconds
+late, and nothing in HTTP/1.1 says which request an answer belongs to. Connections and dials belong to the address and
+the start of a backend: once it moved or restarted they carry no new request, and the module decides again about the
+attempts that waited.
 
-What is seen and what it proves (the platform's table):
+Observations and the results that they prove (the platform's table):
 
-    200, whole                                         ok
-    503 or 504 with Srv-Declined: 1                    full: never ran
-    any other whole answer                             error: may have run
-    dial refused or too late; an end before the last
-        byte of the request was written                could not connect: never ran
-    an end, or bytes that can't be read, after that    reset: may have run
-    nothing                                            time-out, or cancelled, by this side; the connection is cut
+    complete answer with status 200                      ok
+    503 or 504 with Srv-Declined: 1                      full: never ran
+    any other complete answer                            error: may have run
+    dial refused or timed out; connection lost before
+        the last byte of the request was written         connect failed: never ran
+    connection lost or malformed answer after that       reset: may have run
+    nothing                                              timed out, or cancelled by this side; the connection is cut
 """
 
 from __future__ import annotations
@@ -28,312 +28,334 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backend_links import BUSY, DIALING, GONE, IDLE, Backend, Endpoint, Link, PoolSettings, Probe
 from rushweir.edge.http import Malformed, Message
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.pool import BasePool
 
-MOST_LOAD = 16  # figures in a load report
-REST_MS = 20.0  # a copy comes "some milliseconds" late, by the platform's page: fewer than these
+MAX_LOAD_FIGURES = 16  # in one load report
+COOLDOWN_MS = 20.0  # more than the "some milliseconds" by which duplicate answers are late on the platform
 
 
 class Pool(BasePool):
-    """All backends of one ingress. ``out`` holds orders for the shell, ``ended`` what became of attempts."""
+    """The connections of one ingress to all its backends.
+
+    ``out`` has commands for the shell, ``ended`` the ends of attempts and probes."""
 
     def __init__(
         self,
         settings: PoolSettings,
-        where: dict[str, Endpoint],
+        endpoints: dict[str, Endpoint],
         new_conn: Callable[[Any], int],
         at: Callable[[float, Callable[..., None], Any], None],
     ) -> None:
-        """``where``: the endpoints of the backends of the list, kept up by who reads it."""
+        """``endpoints``: of the listed backends, by id; kept up to date by the reader of the list."""
         super().__init__(new_conn, at)
-        self.settings, self.where_listed, self.sweeping = settings, where, False
-        self.nodes: dict[str, Backend] = {}  # bounded by the list, and by the connections of those that left it
+        self.settings, self.listed_endpoints, self.checking_idle = settings, endpoints, False
+        self.backends: dict[str, Backend] = {}  # limited by the list, and by the connections of backends that left it
         self.links: dict[int, Link] = {}
-        self.where: dict[int, Link | Backend] = {}  # jobs not ended, by identity: on a connection, or waiting
+        self.job_places: dict[
+            int, Link | Backend
+        ] = {}  # of open jobs, by identity: the connection, or the backend where it waits
 
-    # --- what the engine wants -------------------------------------------------------------------
+    # --- requests of the engine ------------------------------------------------------------------
 
-    def send(self, now: float, attempt: c.Attempt) -> None:
+    def send(self, now: float, attempt: commands.Attempt) -> None:
+        """Writes an attempt as soon as a connection to its backend is free."""
         self.now = now
-        self._place(attempt)
+        self._assign(attempt)
 
     def probe(self, now: float, server: str) -> None:
+        """Sends a health probe to a backend."""
         self.now = now
         probe = Probe(server, now)
-        self._place(probe)
-        self.at(now + self.settings.probe_timeout_ms, self._probe_late, probe)
+        self._assign(probe)
+        self.at(now + self.settings.probe_timeout_ms, self._probe_timed_out, probe)
 
-    def notified(self, now: float, servers: dict[str, i.State]) -> None:
-        """The list as it now stands. What is not ready gets nothing that is not written yet."""
+    def notified(self, now: float, servers: dict[str, interface.State]) -> None:
+        """Takes over the current list. Nothing more is written to a backend that is not ready."""
         self.now = now
         for name, state in servers.items():
-            endpoint = self.where_listed.get(name)
+            endpoint = self.listed_endpoints.get(name)
             if endpoint is None:
                 continue
-            b = self.nodes.get(name)
-            if b is None:
-                b = self.nodes[name] = Backend(name, endpoint)
-            if b.endpoint != endpoint:
-                # Started anew or moved: what is open or being opened leads to what was there before, and what waits
-                # was meant for that; a busy connection goes with its answer.
-                b.endpoint = endpoint
-                self._abandon(b)
-            b.ready = state is i.State.READY
-        for name, b in list(self.nodes.items()):
+            backend = self.backends.get(name)
+            if backend is None:
+                backend = self.backends[name] = Backend(name, endpoint)
+            if backend.endpoint != endpoint:
+                # It restarted or moved: open connections and dials lead to its former address or start, for which the
+                # waiting attempts were meant too. A busy connection is closed after its answer.
+                backend.endpoint = endpoint
+                self._drop_unsent(backend)
+            backend.ready = state is interface.State.READY
+        for name, backend in list(self.backends.items()):
             if name not in servers:
-                b.ready = False
-            if not b.ready:
-                self._abandon(b)
-                self._forget(b)
-        if not self.sweeping and self.nodes:
-            self.sweeping = True
-            self._sweep(None)
+                backend.ready = False
+            if not backend.ready:
+                self._drop_unsent(backend)
+                self._forget_if_unused(backend)
+        if not self.checking_idle and self.backends:
+            self.checking_idle = True
+            self._close_expired(None)
 
-    # --- what happens to connections -------------------------------------------------------------
+    # --- events of connections -------------------------------------------------------------------
 
     def dialed(self, now: float, conn: int) -> None:
+        """A dial succeeded."""
         self.now = now
         link = self.links.get(conn)
         if link is None:
-            self.out.append(c.AbortConnection(conn))
+            self.out.append(commands.AbortConnection(conn))
             return
         link.backend.dialing -= 1
-        self._free(link)
+        self._make_idle(link)
 
     def dial_failed(self, now: float, conn: int) -> None:
+        """A dial was refused or timed out."""
         self.now = now
         if (link := self.links.get(conn)) is None:
             return
-        b = link.backend
-        b.dialing -= 1
+        backend = link.backend
+        backend.dialing -= 1
         self.counts["dials_failed"] += 1
-        self._drop(link)
-        # The dial was for one that waits; connections that came free meanwhile took the oldest.
-        while len(b.waiting) > b.dialing + len(b.idle):
-            self._end(b.waiting.popleft(), i.Result.CONNECT_FAILED)
+        self._remove(link)
+        # The dial was for one waiting job; connections that became free meanwhile took the oldest ones.
+        while len(backend.waiting) > backend.dialing + len(backend.idle):
+            self._end(backend.waiting.popleft(), interface.Result.CONNECT_FAILED)
 
     def received(self, now: float, conn: int, data: bytes) -> None:
+        """Bytes arrived from a backend."""
         self.now = now
         link = self.links.get(conn)
         if link is None:
             return
         if link.job is None:
             self.counts["stray_bytes"] += 1
-            self._cut(link)
+            self._abort(link)
             return
         try:
             answer = link.reader.receive(data)
         except Malformed as problem:
             self.counts["spoilt_answers"] += 1
             self.counts[f"spoilt: {problem.reason[:40]}"] += 1
-            self._finish(link, i.Result.RESET)
-            self._cut(link)
+            self._end_on_link(link, interface.Result.RESET)
+            self._abort(link)
             return
         if answer is None:
             return
         last = not answer.keep or link.reader.unmatched or link.unsent
         self.counts["strays"] += link.reader.unmatched
-        self._finish(link, _result(answer), answer)
+        self._end_on_link(link, _result(answer), answer)
         if last:
-            self._cut(link)
+            self._abort(link)
         else:
-            link.rests_until = now + REST_MS
-            self._free(link)
+            link.cooldown_until = now + COOLDOWN_MS
+            self._make_idle(link)
 
     def lost(self, now: float, conn: int) -> None:
-        """The connection ended, in whichever way."""
+        """The connection ended, by close or by error."""
         self.now = now
         if (link := self.links.get(conn)) is not None:
             if link.job is not None:
-                self._finish(link, i.Result.CONNECT_FAILED if link.unsent else i.Result.RESET)
-            self._drop(link)
+                self._end_on_link(link, interface.Result.CONNECT_FAILED if link.unsent else interface.Result.RESET)
+            self._remove(link)
 
     def congested(self, conn: int) -> None:
+        """Bytes written to the connection wait in this process."""
         if (link := self.links.get(conn)) is not None:
             link.unsent = True
 
     def drained(self, now: float, conn: int) -> None:
+        """All bytes written to the connection have left this process."""
         self.now = now
         if (link := self.links.get(conn)) is not None:
             link.unsent = False
 
     def close_all(self, now: float) -> None:
+        """Cancels all attempts and cuts all connections."""
         self.now = now
         for link in list(self.links.values()):
             if link.job is not None:
-                self._finish(link, i.Result.CANCELLED)
-            self._cut(link)
-        for b in self.nodes.values():
-            self._abandon(b)
+                self._end_on_link(link, interface.Result.CANCELLED)
+            self._abort(link)
+        for backend in self.backends.values():
+            self._drop_unsent(backend)
 
-    # --- inside ----------------------------------------------------------------------------------
+    # --- internals -------------------------------------------------------------------------------
 
-    def _place(self, job: c.Attempt | Probe) -> None:
-        b = self.nodes.get(job.server)
-        if b is None or not b.ready:
-            self._end(job, i.Result.SUPERSEDED)
+    def _assign(self, job: commands.Attempt | Probe) -> None:
+        backend = self.backends.get(job.server)
+        if backend is None or not backend.ready:
+            self._end(job, interface.Result.SUPERSEDED)
             return
-        for link in [k for k in b.idle if not self._fresh(k)]:
-            self._cut(link)
-        for link in reversed(b.idle):
-            if link.rests_until <= self.now:
-                b.idle.remove(link)
+        for link in [other for other in backend.idle if not self._is_reusable(other)]:
+            self._abort(link)
+        for link in reversed(backend.idle):
+            if link.cooldown_until <= self.now:
+                backend.idle.remove(link)
                 self._write(link, job)
                 return
-        b.waiting.append(job)
-        self.where[id(job)] = b
-        self._provide(b)
-
-    def _provide(self, b: Backend) -> None:
-        """For each that waits there is a connection that rests, which is sooner than any dial, or a dial."""
-        for link in b.idle if b.waiting else ():
-            self.at(link.rests_until, self._rested, link)
-        while b.ready and len(b.waiting) > b.dialing + len(b.idle):
-            if len(self.links) >= self.settings.most and not self._make_room():
+        backend.waiting.append(job)
+        self.job_places[id(job)] = backend
+        self._ensure_connections(backend)
+
+    def _ensure_connections(self, backend: Backend) -> None:
+        """Ensures that each waiting job has a connection that cools down, which is faster than a dial, or a dial."""
+        for link in backend.idle if backend.waiting else ():
+            self.at(link.cooldown_until, self._serve_waiting, link)
+        while backend.ready and len(backend.waiting) > backend.dialing + len(backend.idle):
+            if len(self.links) >= self.settings.max_connections and not self._close_longest_idle():
                 self.counts["no_connection"] += 1
-                self._end(b.waiting.pop(), i.Result.SUPERSEDED)
+                self._end(backend.waiting.pop(), interface.Result.SUPERSEDED)
                 continue
-            link = Link(0, b, self.now)
+            link = Link(0, backend, self.now)
             link.conn = self.new_conn(self)
             self.links[link.conn] = link
-            b.links.add(link)
-            b.dialing += 1
+            backend.links.add(link)
+            backend.dialing += 1
             self.counts["dials"] += 1
-            self.out.append(c.Dial(link.conn, b.endpoint.host, b.endpoint.port, self.settings.connect_timeout_ms))
-
-    def _fresh(self, link: Link) -> bool:
-        return self.now - link.idle_since < i.IDLE_TIMEOUT_SHARE * self.settings.idle_ms
-
-    def _make_room(self) -> bool:
-        """All connections that may be open are: the longest idle one goes."""
-        idle = [b.idle[0] for b in self.nodes.values() if b.idle and not b.waiting]
+            self.out.append(
+                commands.Dial(
+                    link.conn, backend.endpoint.host, backend.endpoint.port, self.settings.connect_timeout_ms
+                )
+            )
+
+    def _is_reusable(self, link: Link) -> bool:
+        return self.now - link.idle_since < interface.IDLE_TIMEOUT_SHARE * self.settings.idle_ms
+
+    def _close_longest_idle(self) -> bool:
+        """Closes the connection idle for longest, since no more may be open. Returns False if none is idle."""
+        idle = [backend.idle[0] for backend in self.backends.values() if backend.idle and not backend.waiting]
         if not idle:
             return False
         self.counts["made_room"] += 1
-        self._cut(min(idle, key=lambda k: k.idle_since))
+        self._abort(min(idle, key=lambda other: other.idle_since))
         return True
 
-    def _free(self, link: Link) -> None:
-        """A connection can carry the next request: one that waits for this backend, or none yet."""
-        b = link.backend
-        if not b.ready or link.endpoint != b.endpoint:
-            self._cut(link)
+    def _make_idle(self, link: Link) -> None:
+        """Makes a connection available for the next request, unless its backend is not ready or was replaced."""
+        backend = link.backend
+        if not backend.ready or link.endpoint != backend.endpoint:
+            self._abort(link)
         else:
             link.state, link.idle_since = IDLE, self.now
-            b.idle.append(link)
-            self._rested(link)
-
-    def _rested(self, link: Link) -> None:
-        """A connection may carry the next request: the oldest that waits and that somebody still waits for."""
-        b = link.backend
-        if link.state is IDLE and link.rests_until > self.now and b.waiting:
-            self.at(link.rests_until, self._rested, link)
-        while link.state is IDLE and link.rests_until <= self.now and b.waiting:
-            job = b.waiting.popleft()
+            backend.idle.append(link)
+            self._serve_waiting(link)
+
+    def _serve_waiting(self, link: Link) -> None:
+        """Writes the oldest waiting job that is still wanted, once the connection has cooled down."""
+        backend = link.backend
+        if link.state is IDLE and link.cooldown_until > self.now and backend.waiting:
+            self.at(link.cooldown_until, self._serve_waiting, link)
+        while link.state is IDLE and link.cooldown_until <= self.now and backend.waiting:
+            job = backend.waiting.popleft()
             if isinstance(job, Probe) or self.wanted(job):
-                b.idle.remove(link)
+                backend.idle.remove(link)
                 self._write(link, job)
             else:
-                self._end(job, i.Result.SUPERSEDED)
+                self._end(job, interface.Result.SUPERSEDED)
 
-    def _write(self, link: Link, job: c.Attempt | Probe) -> None:
-        self.where[id(job)] = link
+    def _write(self, link: Link, job: commands.Attempt | Probe) -> None:
+        self.job_places[id(job)] = link
         link.state, link.job, link.unsent = BUSY, job, False
         link.reader.expect()
         if isinstance(job, Probe):
-            s = self.settings
-            data = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (s.probe_path, s.host)
+            settings = self.settings
+            data = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (settings.probe_path, settings.host)
         else:
-            p = job.payload
-            data = b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (p.head, max(1, int(job.until_ms - self.now)), p.body)
-        self.out.append(c.Write(link.conn, data))
-
-    def _give_up(self, job: c.Attempt | Probe, result: i.Result) -> None:
-        where = self.where.get(id(job))
-        if isinstance(where, Backend):
-            where.waiting.remove(job)
-            self._end(job, i.Result.SUPERSEDED)
-        elif where is not None:
-            self._finish(where, i.Result.CONNECT_FAILED if where.unsent else result)
-            self._cut(where)
-
-    def _held_back(self, attempt: c.Attempt) -> bool:
-        where = self.where.get(id(attempt))
-        return isinstance(where, Backend) or (where is not None and where.unsent)
-
-    def _finish(self, link: Link, result: i.Result, answer: Message | None = None) -> None:
+            payload = job.payload
+            data = b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (
+                payload.head,
+                max(1, int(job.until_ms - self.now)),
+                payload.body,
+            )
+        self.out.append(commands.Write(link.conn, data))
+
+    def _give_up(self, job: commands.Attempt | Probe, result: interface.Result) -> None:
+        place = self.job_places.get(id(job))
+        if isinstance(place, Backend):
+            place.waiting.remove(job)
+            self._end(job, interface.Result.SUPERSEDED)
+        elif place is not None:
+            self._end_on_link(place, interface.Result.CONNECT_FAILED if place.unsent else result)
+            self._abort(place)
+
+    def _held_back(self, attempt: commands.Attempt) -> bool:
+        place = self.job_places.get(id(attempt))
+        return isinstance(place, Backend) or (place is not None and place.unsent)
+
+    def _end_on_link(self, link: Link, result: interface.Result, answer: Message | None = None) -> None:
         job, link.job = link.job, None
         self._end(job, result, answer)
 
-    def _end(self, job: c.Attempt | Probe, result: i.Result, answer: Message | None = None) -> None:
-        self.where.pop(id(job), None)
+    def _end(self, job: commands.Attempt | Probe, result: interface.Result, answer: Message | None = None) -> None:
+        self.job_places.pop(id(job), None)
         load = _load(answer) if answer is not None else None
         if isinstance(job, Probe):
-            self.ended.append(c.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
+            self.ended.append(commands.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
         elif answer is None:
-            self.ended.append(c.AttemptEnded(job, result))
+            self.ended.append(commands.AttemptEnded(job, result))
         else:
-            self.ended.append(c.AttemptEnded(job, result, answer.body, _used(answer), load=load))
-
-    def _probe_late(self, probe: Probe) -> None:
-        self._give_up(probe, i.Result.TIMEOUT)  # nothing, if it ended
-
-    def _abandon(self, b: Backend) -> None:
-        """Nothing more goes out on what is open or being opened; what waits never did."""
-        while b.waiting:
-            self._end(b.waiting.popleft(), i.Result.SUPERSEDED)
-        for link in sorted((k for k in b.links if k.state in (DIALING, IDLE)), key=lambda k: k.conn):
-            b.dialing -= link.state is DIALING
-            self._cut(link)
-
-    def _cut(self, link: Link) -> None:
-        """End a connection from this side, at once."""
+            self.ended.append(commands.AttemptEnded(job, result, answer.body, _used(answer), load=load))
+
+    def _probe_timed_out(self, probe: Probe) -> None:
+        self._give_up(probe, interface.Result.TIMEOUT)  # no effect if it ended
+
+    def _drop_unsent(self, backend: Backend) -> None:
+        """Ends waiting jobs, which were never sent, and cuts connections that carry no request."""
+        while backend.waiting:
+            self._end(backend.waiting.popleft(), interface.Result.SUPERSEDED)
+        for link in sorted(
+            (other for other in backend.links if other.state in (DIALING, IDLE)), key=lambda other: other.conn
+        ):
+            backend.dialing -= link.state is DIALING
+            self._abort(link)
+
+    def _abort(self, link: Link) -> None:
+        """Aborts a connection from this side."""
         if link.state is not GONE:
-            self.out.append(c.AbortConnection(link.conn))
-            self._drop(link)
+            self.out.append(commands.AbortConnection(link.conn))
+            self._remove(link)
 
-    def _drop(self, link: Link) -> None:
+    def _remove(self, link: Link) -> None:
         link.state = GONE
         self.links.pop(link.conn, None)
-        b = link.backend
-        b.links.discard(link)
-        if link in b.idle:
-            b.idle.remove(link)
-            self._provide(b)
-        self._forget(b)
-
-    def _forget(self, b: Backend) -> None:
+        backend = link.backend
+        backend.links.discard(link)
+        if link in backend.idle:
+            backend.idle.remove(link)
+            self._ensure_connections(backend)
+        self._forget_if_unused(backend)
+
+    def _forget_if_unused(self, backend: Backend) -> None:
         """A backend that left the list is dropped with its last connection."""
-        if not b.links and not b.ready and b.id not in self.where_listed:
-            self.nodes.pop(b.id, None)
+        if not backend.links and not backend.ready and backend.id not in self.listed_endpoints:
+            self.backends.pop(backend.id, None)
 
-    def _sweep(self, _: Any) -> None:
-        """Connections that were idle for too long are closed before the backend does it."""
-        for b in self.nodes.values():
-            for link in [k for k in b.idle if not self._fresh(k)]:
-                self._cut(link)
-        self.at(self.now + self.settings.idle_ms / 10, self._sweep, None)
+    def _close_expired(self, _: Any) -> None:
+        """Closes connections that are idle for too long, before their backend does, and schedules the next check."""
+        for backend in self.backends.values():
+            for link in [other for other in backend.idle if not self._is_reusable(other)]:
+                self._abort(link)
+        self.at(self.now + self.settings.idle_ms / 10, self._close_expired, None)
 
 
-def _result(answer: Message) -> i.Result:
+def _result(answer: Message) -> interface.Result:
     if answer.status == 200:
-        return i.Result.OK
+        return interface.Result.OK
     declined = answer.status in (503, 504) and answer.headers.get(b"srv-declined", b"").strip() == b"1"
-    return i.Result.FULL if declined else i.Result.ERROR
+    return interface.Result.FULL if declined else interface.Result.ERROR
 
 
 def _used(answer: Message) -> int:
-    """The meter's figure as the module counts it: 1 more than the percent told; 0: nothing told, or nonsense."""
+    """Returns the reported meter percentage plus 1, as the module counts it; 0 if it is missing or invalid."""
     text = answer.headers.get(b"x-meter", b"")
     return int(text) + 1 if text.isdigit() and len(text) < 7 else 0
 
 
 def _load(answer: Message) -> dict[str, float] | None:
-    """A load report; None where there is none that can be read. The answer is good all the same."""
+    """Returns the load report, or None if it is missing or invalid, which does not invalidate the answer."""
     text = answer.headers.get(b"srv-load")
     if text is None or len(text) > 512:
         return None
@@ -342,4 +364,4 @@
         load = {name.strip(): float(value) for name, value in fields}
     except ValueError:
         return None
-    return load if len(load) <= MOST_LOAD and all(0 <= v < 1e12 for v in load.values()) else None
+    return load if len(load) <= MAX_LOAD_FIGURES and all(0 <= v < 1e12 for v in load.values()) else None
--- a/rushweir/edge/discovery_watch.py
+++ b/rushweir/edge/discovery_watch.py
@@ -23,11 +23,11 @@
 
 import orjson
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.discovery.source import MOST_SERVERS, MOST_TEXT, Update, UpdateError, described, host_port, text
 from rushweir.edge.backend_links import Endpoint
 from rushweir.edge.http import AnswerReader, Malformed
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 
 AWAY, DIALING, ASKING = "away", "dialing", "asking"
 PATH = "/catalog/members"
@@ -42,7 +42,7 @@
 BEHIND_MS = 10_000.0  # ... and at last it is the list
 MOST_LIST = 8_388_608  # bytes of an answer: 20,000 entries at some 200 bytes, with room
 NOWHERE = Endpoint("", 0)
-STATES = {"Ready": i.State.READY, "Terminating": i.State.DRAINING, "Gone": i.State.GONE}
+STATES = {"Ready": interface.State.READY, "Terminating": interface.State.DRAINING, "Gone": interface.State.GONE}
 
 
 class DiscoveryWatch:
@@ -56,21 +56,21 @@
         self.link = self  # the core drives a list's link; here it is one and the same
         self.state, self.conn, self.calls = AWAY, 0, 0
         self.version, self.whole = -1, False  # of the list held; whether discovery itself gave it
-        self.servers: dict[str, i.Server] = {}  # the list held
+        self.servers: dict[str, interface.Server] = {}  # the list held
         self.prompt = True  # whether the next call is not to wait
         self.pause, self.stopped, self.now = PAUSE_MS[0], False, 0.0
         self.behind: float | None = None  # since when answers are older than what is held
         self.reader = AnswerReader(MOST_LIST)
-        self.out: list[c.ShellCommand] = []
+        self.out: list[commands.ShellCommand] = []
         self.updates: list[Update] = []
-        self.log_events: list[c.LogEvent] = []
+        self.log_events: list[commands.LogEvent] = []
         self.counts: Counter[str] = Counter()
 
     def known(self, page: Any) -> Update:
         """The list as this ingress last held it, to begin with. Raises UpdateError."""
         version, _, servers = self._read(page)
         self.version = version
-        return Update(i.Scope.CACHED, version, self._held(servers, True))
+        return Update(interface.Scope.CACHED, version, self._held(servers, True))
 
     # --- what the core wants ---------------------------------------------------------------------
 
@@ -103,7 +103,7 @@
     def dialed(self, now: float, conn: int) -> None:
         self.now = now
         if conn != self.conn or self.state is not DIALING:
-            self.out.append(c.AbortConnection(conn))
+            self.out.append(commands.AbortConnection(conn))
             return
         self.reader = AnswerReader(MOST_LIST)
         self._ask()
@@ -127,7 +127,7 @@
                 raise UpdateError(f"status {answer.status}")
             self._take(orjson.loads(answer.body))
         except (Malformed, UpdateError, orjson.JSONDecodeError) as problem:
-            self.log_events.append(c.LogEvent("warning", "list_answer_refused", {"why": str(problem)[:300]}))
+            self.log_events.append(commands.LogEvent("warning", "list_answer_refused", {"why": str(problem)[:300]}))
             self.counts["refused"] += 1
             self._lost("unreadable")
             return
@@ -150,7 +150,7 @@
     def _dial(self, _: Any) -> None:
         if self.state is AWAY and not self.stopped:
             self.state, self.conn = DIALING, self.new_conn(self)
-            self.out.append(c.Dial(self.conn, *self.address, CONNECT_MS))
+            self.out.append(commands.Dial(self.conn, *self.address, CONNECT_MS))
 
     def _ask(self) -> None:
         self.state = ASKING
@@ -159,7 +159,7 @@
         wait = 0.0 if self.prompt or not self.whole else WAIT_MS
         path = f"{PATH}?since={self.version}&timeout_ms={wait:.0f}" if self.whole else PATH
         host = f"{self.address[0]}:{self.address[1]}"
-        self.out.append(c.Write(self.conn, f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()))
+        self.out.append(commands.Write(self.conn, f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()))
         self.at(self.now + wait + LATE_MS, self._late, (self.conn, self.calls))
 
     def _late(self, call: tuple[int, int]) -> None:
@@ -173,14 +173,14 @@
 
     def _leave(self) -> None:
         if self.state is not AWAY:
-            self.out.append(c.AbortConnection(self.conn))
+            self.out.append(commands.AbortConnection(self.conn))
             self.state = AWAY
 
     def _lost(self, why: str) -> None:
         self._leave()
         self.prompt = True
         self.counts[why] += 1
-        self.updates.append(Update(i.Scope.FAILED, self.version))
+        self.updates.append(Update(interface.Scope.FAILED, self.version))
         # Jittered by half, so that a fleet that lost its discovery together does not return together.
         self.at(self.now + self.pause * self.rng.uniform(0.5, 1.0), self._dial, None)
         self.pause = min(self.pause * 2, PAUSE_MS[1])
@@ -195,11 +195,11 @@
         self.version = version
         if full or servers:
             self.counts["updates"] += 1
-            scope = i.Scope.FULL if full else i.Scope.DELTA
+            scope = interface.Scope.FULL if full else interface.Scope.DELTA
             self.updates.append(Update(scope, version, self._held(servers, full)))
         self.whole = True
 
-    def _older(self, version: int, listed: dict[str, i.Server] | None) -> None:
+    def _older(self, version: int, listed: dict[str, interface.Server] | None) -> None:
         """A list before the one held: told before, and told otherwise since. What it holds back is held back here
         at once, and soon what it does not have; what it alone offers is not taken, until it has stayed for long
         enough to be the list's new life. Raises UpdateError as long as it is not."""
@@ -214,17 +214,17 @@
             barred = []
             for held in self.servers.values():
                 other = listed.get(held.address, held if patient else None)
-                ready = other is not None and other.state is i.State.READY
+                ready = other is not None and other.state is interface.State.READY
                 started = max(held.online_since_ms, other.online_since_ms if other is not None else 0.0)
-                if held.state is i.State.READY and (not ready or started > held.online_since_ms):
-                    state = held.state if ready else i.State.DRAINING
+                if held.state is interface.State.READY and (not ready or started > held.online_since_ms):
+                    state = held.state if ready else interface.State.DRAINING
                     barred.append(replace(held, state=state, online_since_ms=started))
             if barred:
                 self.servers |= {s.address: s for s in barred}
-                self.updates.append(Update(i.Scope.DELTA, self.version, tuple(barred)))
+                self.updates.append(Update(interface.Scope.DELTA, self.version, tuple(barred)))
         raise UpdateError(f"version {version} is older than {self.version}")
 
-    def _read(self, page: Any) -> tuple[int, bool, list[tuple[i.Server, Endpoint]]]:
+    def _read(self, page: Any) -> tuple[int, bool, list[tuple[interface.Server, Endpoint]]]:
         if not isinstance(page, dict):
             raise UpdateError("an object")
         version, full, entries = page.get("version"), page.get("full"), page.get("servers")
@@ -234,23 +234,23 @@
             raise UpdateError("full: true or false")
         if not isinstance(entries, list) or len(entries) > MOST_SERVERS:
             raise UpdateError(f"servers: an array of at most {MOST_SERVERS}")
-        found: dict[str, tuple[i.Server, Endpoint]] = {}
+        found: dict[str, tuple[interface.Server, Endpoint]] = {}
         for k, entry in enumerate(entries):
             server, endpoint = self._entry(entry, f"servers[{k}]")
             if server is None:
                 continue
             if (other := found.get(server.address)) is not None:
                 self._odd(f"servers[{k}].id: stands twice", server.address)
-                if other[0].state is not i.State.READY:
+                if other[0].state is not interface.State.READY:
                     continue  # of two words the one that asks for less
             found[server.address] = server, endpoint
         return version, full, list(found.values())
 
     def _odd(self, why: str, name: str = "") -> None:
         self.counts["odd_entries"] += 1
-        self.log_events.append(c.LogEvent("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
+        self.log_events.append(commands.LogEvent("warning", "list_entry_odd", {"why": why[:300], "entry": name[:80]}))
 
-    def _entry(self, entry: Any, where: str) -> tuple[i.Server | None, Endpoint]:
+    def _entry(self, entry: Any, where: str) -> tuple[interface.Server | None, Endpoint]:
         """One entry. What can't be read is none that asks for new work: its backend is barred, by its id, and the
         others of the list hold. Where not even the id can be read there is nobody to bar: a whole list does not have
         it then."""
@@ -262,10 +262,10 @@
             self._odd(str(problem), name if known else "")
             if not known:
                 return None, NOWHERE
-            held = self.servers.get(name, i.Server(name))
-            return replace(held, state=i.State.DRAINING), self.where.get(name, NOWHERE)
+            held = self.servers.get(name, interface.Server(name))
+            return replace(held, state=interface.State.DRAINING), self.where.get(name, NOWHERE)
 
-    def _server(self, entry: Any, where: str) -> tuple[i.Server, Endpoint]:
+    def _server(self, entry: Any, where: str) -> tuple[interface.Server, Endpoint]:
         if not isinstance(entry, dict):
             raise UpdateError(f"{where}: an object")
         name, state = text(entry, "id", where), text(entry, "state", where, "")
@@ -277,15 +277,15 @@
         server = described(entry, where, name, "started_ms", STATES[state])
         return server, Endpoint(host, port, server.online_since_ms)
 
-    def _held(self, servers: list[tuple[i.Server, Endpoint]], full: bool) -> tuple[i.Server, ...]:
+    def _held(self, servers: list[tuple[interface.Server, Endpoint]], full: bool) -> tuple[interface.Server, ...]:
         """Take a list, or changes, as what is held from now on."""
         if full:
             self.where.clear()
             self.servers.clear()
         for server, endpoint in servers:
-            if server.state is i.State.GONE:
+            if server.state is interface.State.GONE:
                 self.where.pop(server.address, None)
                 self.servers.pop(server.address, None)
             else:
                 self.where[server.address], self.servers[server.address] = endpoint, server
-        return tuple(s for s, _ in servers if not full or s.state is not i.State.GONE)
+        return tuple(s for s, _ in servers if not full or s.state is not interface.State.GONE)
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -12,10 +12,10 @@
 
 from rushweir.discovery.source import UpdateError
 from rushweir.edge.config import Config, load
-from rushweir.edge.setup import ACCEPTED, setup
+from rushweir.edge.setup import ACCEPT_BURST, setup
 from rushweir.edge.signals import Signals
 from rushweir.edge.trace import Trace
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.core import Core
 from rushweir.ingress.shell import Clock, Shell, calm_collector
 from rushweir.logs.decisions import Limiter
@@ -35,7 +35,7 @@
         self.clock = clock
         self.limiter = Limiter(LOG_LINES_PER_S, LOG_BURST_LINES)
 
-    def emit(self, event: c.LogEvent) -> None:
+    def emit(self, event: commands.LogEvent) -> None:
         """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
         allowed, left_out = self.limiter.may(now, event.cause)
@@ -64,7 +64,7 @@
         listening = socket.create_server(config.listen)
         self.shell = shell = Shell(
             core, self.clock, peers=dict(enumerate(config.peers)), log=self.log.emit, high_water=0,
-            accept_at_once=ACCEPTED,
+            accept_at_once=ACCEPT_BURST,
         )  # fmt: skip
         if config.known_list is not None:
             try:
@@ -89,7 +89,7 @@
 
     def trace(self, trace: Trace) -> None:
         """Writes a trace line now and once a second."""
-        self.log.emit(c.LogEvent("debug", "trace", trace.line(self.clock())))
+        self.log.emit(commands.LogEvent("debug", "trace", trace.line(self.clock())))
         asyncio.get_running_loop().call_later(1.0, self.trace, trace)
 
     def reload(self) -> None:
@@ -115,7 +115,7 @@
         await asyncio.sleep(ACCEPTING_S)
         longest = max(request_class.deadline_ms for request_class in core.setup.settings.classes)
         answered = await shell.stop(min(longest, PLATFORM_KILL_MS) - ANSWER_MARGIN_MS)
-        self.log.emit(c.LogEvent("info", "stopped", {"answered": answered, **core.counts_by_component()}))
+        self.log.emit(commands.LogEvent("info", "stopped", {"answered": answered, **core.counts_by_component()}))
 
 
 def run(signals: Signals) -> int:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -1,4 +1,4 @@
-"""The platform's ingress put together: which parts, and how many descriptors each may hold. No I/O."""
+"""Assembles the platform's ingress and divides its file descriptors among its components. No I/O."""
 
 from __future__ import annotations
 
@@ -10,50 +10,56 @@
 from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
 from rushweir.edge.peers import Peers
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress import core as base
 
-RESERVED = 24  # listening, datagrams, discovery (two while it moves), the loop's own, standard streams, and to spare
-ACCEPTED = 16  # connections taken in one turn of the loop, above the bound, before the core closes any
-KEPT = 1 / 8  # of all: clients may hold a third for requests, and need to find some of them free
-IDLE_MS = 2_000.0  # clients that ask once and stay use up the connections that clients may hold
-CLIENTS = 0.7  # of the rest: a third of all for those who ask, and room for those who only connect
+# Listening and datagram sockets, discovery (two while it moves), the event loop, standard streams, and a reserve.
+RESERVED_DESCRIPTORS = 24
+ACCEPT_BURST = 16  # connections accepted in one turn of the loop beyond the limit, before the core closes any
+CROWDED_SHARE = 1 / 8  # of all: clients may use a third for requests, and some of these must stay free
+IDLE_MS = 2_000.0  # clients that stay connected after one request use up the connections for clients
+CLIENT_SHARE = 0.7  # of the rest: a third of all for clients with requests, the others for clients that only connect
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Descriptors of one ingress, out of its limit."""
+    """The file descriptors of one ingress, divided by use."""
 
     clients: int
     backends: int
-    kept: int  # connections of clients that asked something: above it they are left as they are answered
+    crowded_above: int  # more connections with a request than this are closed as they are answered
 
     @classmethod
     def of(cls, sockets: int) -> Budget:
-        """Raises ValueError where the limit leaves no room to serve."""
-        rest = sockets - RESERVED - ACCEPTED
+        """Divides the limit. Raises ValueError if it is too low to serve."""
+        rest = sockets - RESERVED_DESCRIPTORS - ACCEPT_BURST
         if rest < 16:
-            raise ValueError(f"limits.sockets: {RESERVED + ACCEPTED + 16} at least, not {sockets}")
-        clients = int(rest * CLIENTS)
-        return cls(clients, rest - clients, int(sockets * KEPT))
+            raise ValueError(
+                f"limits.sockets: must be at least {RESERVED_DESCRIPTORS + ACCEPT_BURST + 16}, not {sockets}"
+            )
+        clients = int(rest * CLIENT_SHARE)
+        return cls(clients, rest - clients, int(sockets * CROWDED_SHARE))
 
 
 @dataclass(frozen=True, slots=True)
 class Setup(base.Setup):
+    """The settings of the platform's ingress, and how its components are created and updated from them."""
+
     discovery: Address = ("", 0)
     peers: tuple[Address, ...] = ()
-    kept: int = 128
-    pool: PoolSettings = field(default_factory=lambda: PoolSettings(most=64))
+    crowded_above: int = 128
+    pool: PoolSettings = field(default_factory=lambda: PoolSettings(max_connections=64))
 
     def components(self, core: base.Core) -> Components:
-        where: dict[str, Endpoint] = {}
+        """Returns the components of a new ingress."""
+        endpoints: dict[str, Endpoint] = {}
         shared = Shared(
-            self.settings, core.health, lambda: core.draining or core.stopping, self.kept, lambda: core.now
+            self.settings, core.health, lambda: core.draining or core.stopping, self.crowded_above, lambda: core.now
         )
         return Components(
             front=lambda: ClientConnection(shared),
-            pool=Pool(self.pool, where, core.new_conn, core.engine.call_at),
-            list=DiscoveryWatch(self.discovery, self.seed, where, core.new_conn, core.engine.call_at),
+            pool=Pool(self.pool, endpoints, core.new_conn, core.engine.call_at),
+            list=DiscoveryWatch(self.discovery, self.seed, endpoints, core.new_conn, core.engine.call_at),
             peers=self._peers(),
             shared=shared,
         )
@@ -62,23 +68,26 @@
         return Peers(self.settings.gateway, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
     def adopt(self, core: base.Core) -> None:
+        """Applies this setup to a running ingress, and reconnects to discovery."""
         core.components.shared.adopt(self.settings)
-        core.components.shared.kept = self.kept
+        core.components.shared.crowded_above = self.crowded_above
         core.pool.settings = self.pool
-        if core.peers is None or core.peers.numbers != {a: k for k, a in enumerate(self.peers)}:
-            # A number means another ingress now, or none: a word from the old one's address would count as its.
+        if core.peers is None or core.peers.numbers != {address: number for number, address in enumerate(self.peers)}:
+            # Numbers were reassigned: a message from a former address would be attributed to another ingress.
             core.peers = core.components.peers = self._peers()
-            core.commands.append(c.SetPeerAddresses(dict(enumerate(self.peers))))
+            core.commands.append(commands.SetPeerAddresses(dict(enumerate(self.peers))))
         core.list.move(core.now, self.discovery)
 
 
 @dataclass(slots=True)
 class Components(base.Components):
-    shared: Shared | None = None  # what the clients' connections share
+    """The components of the platform's ingress."""
+
+    shared: Shared | None = None  # state that the client connections share
 
 
 def setup(config: Config) -> Setup:
-    """Raises ValueError where the limits leave no room to serve."""
+    """Returns the setup of a configuration. Raises ValueError if its limits are too low to serve."""
     budget = Budget.of(config.sockets)
     return Setup(
         config.settings,
@@ -92,6 +101,6 @@
         keep_list=False,
         discovery=config.discovery,
         peers=config.peers,
-        kept=budget.kept,
+        crowded_above=budget.crowded_above,
         pool=PoolSettings(budget.backends, config.dial_timeout_ms, config.idle_ms),
     )
--- a/rushweir/edge/trace.py
+++ b/rushweir/edge/trace.py
@@ -1,7 +1,7 @@
-"""What the ingress believes, once a second, for whoever compares it with what passed on the sockets. Off by default.
+"""Trace lines with the state of the ingress, to compare with what passed on its sockets. Off by default.
 
-Set EDGE_TRACE=1 in the environment of ``run``. The lines name what the module holds: room and its use, lengths,
-health and load of each backend, ends and refusals since the last line, CPU.
+EDGE_TRACE=1 in the environment writes one line a second: in-flight capacity and its use, request lengths, health and
+load of each backend, results and refusals since the previous line, CPU time.
 """
 
 from __future__ import annotations
@@ -13,35 +13,51 @@
 from rushweir.ingress.core import Core
 from rushweir.policy import Policy
 
-PARTS = {"engine": "", "refusals": "no_", "pool": "pool_", "core": "core_", "peers": "peers_"}  # and their prefixes
+COUNT_PREFIXES = {
+    "engine": "",
+    "refusals": "no_",
+    "pool": "pool_",
+    "core": "core_",
+    "peers": "peers_",
+}  # prefixes in ``since`` by component
 
 
 class Trace:
+    """Formats trace lines, and stores the counts of the last one."""
+
     def __init__(self, core: Core) -> None:
-        """Of a core that the module's own Policy decides for."""
+        """``core`` must use rushweir's own ``Policy``."""
         self.core, self.last, self.cpu = core, Counter[str](), time.process_time()
 
     def line(self, now: float) -> dict[str, Any]:
-        core, policy, figures = self.core, self.core.engine.policy, self.core.counts_by_component()
+        """Returns the fields of the next line; ``now`` in milliseconds."""
+        core, policy, component_counts = self.core, self.core.engine.policy, self.core.counts_by_component()
         assert isinstance(policy, Policy)
-        room, fleet = policy.capacity, policy.server_pool
-        counts = Counter({prefix + k: n for part, prefix in PARTS.items() for k, n in figures[part].items()})
+        capacity, server_pool = policy.capacity, policy.server_pool
+        counts = Counter(
+            {
+                prefix + name: count
+                for component, prefix in COUNT_PREFIXES.items()
+                for name, count in component_counts[component].items()
+            }
+        )
         cpu = time.process_time()
         since, self.last, spent, self.cpu = counts - self.last, counts, cpu - self.cpu, cpu
         return {
             "cpu_ms": round(spent * 1000), "late_ms": round(core.load_shedder.delay_ms, 1), "since": dict(since),
-            "room": [round(sum(room.partitions.sizes), 2), round(sum(room.partitions.used), 2)],
-            "pressed": room.under_pressure(now),
-            "credit": round(room.credit), "done_per_s": round(room.finished.per_s(now), 1),
-            "lengths": {n: round(m.value) for n, m in room.lengths.items()}, "median": round(room.median_ratio, 2),
-            "owed": figures["owed"], "clients": figures["clients"], "links": figures["links"],
+            "room": [round(sum(capacity.partitions.sizes), 2), round(sum(capacity.partitions.used), 2)],
+            "pressed": capacity.under_pressure(now),
+            "credit": round(capacity.credit), "done_per_s": round(capacity.finished.per_s(now), 1),
+            "lengths": {name: round(length.value) for name, length in capacity.lengths.items()},
+            "median": round(capacity.median_ratio, 2), "owed": component_counts["owed"],
+            "clients": component_counts["clients"], "links": component_counts["links"],
             "customers": len(policy.quota.customers), "held": len(policy.quota.held_requests),
             "mail": sum(map(len, policy.quota.outbox.waiting.values())),
             "backends": {
-                b.entry.address: [
-                    len(b.in_flight), round(b.relative_latency, 2), round(b.health[0].failure_rate(now), 2),
-                    b.entry.state.value,
+                server.entry.address: [
+                    len(server.in_flight), round(server.relative_latency, 2),
+                    round(server.health[0].failure_rate(now), 2), server.entry.state.value,
                 ]
-                for b in fleet.servers.values()
+                for server in server_pool.servers.values()
             },
         }  # fmt: skip
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -8,7 +8,7 @@
 
 from rushweir import interface as i
 from rushweir.edge.backend_links import PoolSettings
-from rushweir.edge.backends import REST_MS
+from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.setup import IDLE_MS, Setup
 from rushweir.ingress import commands as c
 from rushweir.ingress.core import Core
@@ -116,7 +116,7 @@
         conn = self.connect() if conn is None else conn
         orders = self.receive(conn, data or request())
         if not any(isinstance(o, c.Dial) or (isinstance(o, c.Write) and o.conn != conn) for o in orders):
-            orders = self.advance_ms(REST_MS)  # it waits for a connection that rests
+            orders = self.advance_ms(COOLDOWN_MS)  # it waits for a connection that rests
         backend_conn = next((o.conn for o in orders if isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data), None)
         if backend_conn is None:
             backend_conn, _ = self.complete_dial(orders)
--- a/tests/edge/request_model.py
+++ b/tests/edge/request_model.py
@@ -120,11 +120,13 @@
             assert a.answers == 1 or (a.left is not None and not a.answers), f"{a.rid}: {a.answers} answers"
         core, policy = edge.core, edge.policy
         assert not core.engine.ledger.entries and not core.engine.ledger.unanswered, "requests held"
-        assert not core.components.shared.open and core.components.shared.spoken == 0, "ids or connections held"
+        assert (
+            not core.components.shared.open_request_ids and core.components.shared.active_connections == 0
+        ), "ids or connections held"
         assert not policy.pending, "requests held by the module"
         assert sum(policy.capacity.partitions.used) < 1e-6, "room held"
         assert all(x.open_attempts == 0 for x in policy.quota.customers.values()), "places held"
         assert not any(s.in_flight for s in policy.quota.owned_buckets.values()), "places held by their keeper"
-        assert not core.clients.open and not core.pool.where, "connections or attempts held"
+        assert not core.clients.open and not core.pool.job_places, "connections or attempts held"
         assert not core.pool.links, "connections to backends held"  # idle ones are closed by then
         assert len(core.upstream_handlers) <= 1, "handlers held"
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rushweir import interface as i
-from rushweir.edge.backends import REST_MS
+from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 
@@ -101,7 +101,7 @@
     conn, backend_conn = edge.send_request()
     edge.receive(backend_conn, answer())
     for n in range(40):
-        edge.advance_ms(REST_MS)  # it rested: a connection just answered on carries nothing for so long
+        edge.advance_ms(COOLDOWN_MS)  # it rested: a connection just answered on carries nothing for so long
         _, used = edge.send_request(request(f"r{n}"), conn)
         edge.receive(used, answer())
     assert len(edge.core.pool.links) <= 3
@@ -157,8 +157,8 @@
     change(edge, 8)
     page = {"version": 9, "full": False, "servers": [{**old, "state": "Gone"}, {**old, "id": "s-new"}]}
     edge.receive(edge.core.list.conn, answer(orjson.dumps(page)))
-    assert backend_conn in edge.closed and gone.id not in edge.core.pool.nodes
-    new = edge.core.pool.nodes["s-new"]
+    assert backend_conn in edge.closed and gone.id not in edge.core.pool.backends
+    new = edge.core.pool.backends["s-new"]
     assert new.endpoint.host == gone.endpoint.host and not new.links
 
 
@@ -179,8 +179,8 @@
         edge.receive(edge.core.list.conn, answer(orjson.dumps(page)))
     core = edge.core
     held = (
-        core.pool.nodes,
-        core.pool.where_listed,
+        core.pool.backends,
+        core.pool.listed_endpoints,
         core.nodes.effective,
         edge.policy.server_pool.servers,
         core.telemetry.nodes,
@@ -238,7 +238,7 @@
     edge.core.dialed(edge.now, again.conn)
     edge.turn()
     edge.receive(again.conn, answer())
-    assert edge.statuses(conn) == [200] and edge.core.pool.nodes[name].dialing == 0
+    assert edge.statuses(conn) == [200] and edge.core.pool.backends[name].dialing == 0
 
 
 @pytest.mark.parametrize("other", ELSEWHERE)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushweir.edge.backends import REST_MS
+from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.front import Shared
 from rushweir.ingress import commands as c
 from tests.edge.conftest import SETTINGS, Edge, answer, booking, request
@@ -22,7 +22,7 @@
     assert 1900 < int(out.split(b"Req-Deadline-Ms: ")[1].split(b"\r\n")[0]) < 2000
     edge.receive(backend_conn, answer(b"done"))
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"\r\n\r\ndone")
-    assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open
+    assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open_request_ids
 
 
 BAD = {
@@ -113,7 +113,7 @@
 def test_pipelined_requests_are_answered_in_order(edge):
     conn, backend_conn = edge.send_request(request("one") + request("two"))
     edge.receive(backend_conn, answer(b"1"))
-    edge.advance_ms(REST_MS)  # of the connection to the backend
+    edge.advance_ms(COOLDOWN_MS)  # of the connection to the backend
     second = [o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data]
     edge.receive(second[0].conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and edge.written(conn).endswith(b"2")
@@ -163,7 +163,11 @@
     conn, backend_conn = edge.send_request()
     edge.core.ended(edge.now, conn)
     edge.receive(backend_conn, answer())
-    assert not edge.core.engine.ledger.entries and not edge.core.clients.open and not edge.core.components.shared.open
+    assert (
+        not edge.core.engine.ledger.entries
+        and not edge.core.clients.open
+        and not edge.core.components.shared.open_request_ids
+    )
 
 
 def test_health_page_depends_on_having_a_list():
@@ -190,7 +194,7 @@
 def test_request_ids_of_a_lost_connection_are_released(edge):
     conn, _ = edge.send_request()
     edge.core.ended(edge.now, conn)
-    assert isinstance(edge.core.components.shared, Shared) and not edge.core.components.shared.open
+    assert isinstance(edge.core.components.shared, Shared) and not edge.core.components.shared.open_request_ids
 
 
 def test_rejected_connections_make_room_for_new_requests():
@@ -228,16 +232,16 @@
 
 def test_answered_connections_close_while_too_many_are_open():
     """Connections that had asked once were all that clients might hold: half of the tries found none (r03c8f5)."""
-    edge, open_now = Edge(kept=3), []
+    edge, open_now = Edge(crowded_above=3), []
     for n in range(6):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
         edge.receive(backend_conn, answer())
         open_now.append(conn)
     assert [conn in edge.closed for conn in open_now] == [False] * 3 + [True] * 3
-    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.components.shared.spoken == 3
+    assert b"Connection: close" in edge.written(open_now[-1]) and edge.core.components.shared.active_connections == 3
     for conn in open_now:
         edge.core.ended(edge.now, conn)
-    assert edge.core.components.shared.spoken == 0
+    assert edge.core.components.shared.active_connections == 0
 
 
 def test_pipelined_requests_are_answered_before_a_stopping_ingress_closes(edge):
@@ -246,7 +250,7 @@
     edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.receive(backend_conn, answer(b"1"))
-    edge.advance_ms(REST_MS)
+    edge.advance_ms(COOLDOWN_MS)
     second = next(o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data)
     edge.receive(second.conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and conn in edge.closed
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from rushweir.edge.front import QUIET_MS
+from rushweir.edge.front import MIN_IDLE_MS
 from rushweir.edge.service import ACCEPTING_S
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import LINGER_MS
@@ -39,7 +39,7 @@
     conn = edge.connect()
     if how != "nothing":
         edge.receive(conn, part(data, how))
-    edge.advance_ms(QUIET_MS + 1)
+    edge.advance_ms(MIN_IDLE_MS + 1)
     if when == "room":
         for _ in range(3):
             edge.connect()
@@ -57,7 +57,7 @@
         assert edge.statuses(conn) == [200]
 
 
-@pytest.mark.parametrize("quiet", [0.0, 0.5 * QUIET_MS, 0.99 * QUIET_MS])
+@pytest.mark.parametrize("quiet", [0.0, 0.5 * MIN_IDLE_MS, 0.99 * MIN_IDLE_MS])
 def test_recent_connection_is_not_closed_for_a_new_one_which_gets_503(quiet):
     edge = Edge(max_clients=3)
     conns = [edge.connect() for _ in range(3)]
--- a/tests/edge/test_event_orders.py
+++ b/tests/edge/test_event_orders.py
@@ -35,10 +35,10 @@
     real = Pool._give_up
 
     def give_up(self, job, result):
-        where = self.where.get(id(job))
-        if isinstance(where, Link):
-            self._finish(where, result)
-            self.at(self.now + 1000.0, self._cut, where)
+        place = self.job_places.get(id(job))
+        if isinstance(place, Link):
+            self._end_on_link(place, result)
+            self.at(self.now + 1000.0, self._abort, place)
         else:
             real(self, job, result)
 
@@ -69,22 +69,22 @@
     real = Pool.notified
     ready = i.State.READY
     monkeypatch.setattr(Pool, "notified", lambda self, now, servers: real(
-        self, now, dict.fromkeys([*servers, *(n for n in self.nodes if n in self.where_listed)], ready)
+        self, now, dict.fromkeys([*servers, *(n for n in self.backends if n in self.listed_endpoints)], ready)
     ))  # fmt: skip
 
 
 def keeps_old_connections(monkeypatch):
     """What is open to a backend before its new start goes on carrying its requests."""
-    monkeypatch.setattr(Pool, "_abandon", lambda self, b: None)
+    monkeypatch.setattr(Pool, "_drop_unsent", lambda self, b: None)
     monkeypatch.setattr(Endpoint, "__eq__", lambda a, b: a.host == b.host)
 
 
 def no_rest(monkeypatch):
-    monkeypatch.setattr("rushweir.edge.backends.REST_MS", 0.0)
+    monkeypatch.setattr("rushweir.edge.backends.COOLDOWN_MS", 0.0)
 
 
 def forgets_halves(monkeypatch):
-    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.current is not None))
+    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.open_request_id is not None))
 
 
 def sends_for_nobody(monkeypatch):
@@ -120,14 +120,14 @@
 
     def answer(self, a):
         real(self, a)
-        self.current = a.ref
+        self.open_request_id = a.ref
         real(self, a)
 
     monkeypatch.setattr(ClientConnection, "answer", answer)
 
 
 def keeps_descriptors(monkeypatch):
-    monkeypatch.setattr(Pool, "_sweep", lambda self, _: None)
+    monkeypatch.setattr(Pool, "_close_expired", lambda self, _: None)
 
 
 PLANTED = {
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -128,7 +128,7 @@
     conn = front()
     conn.receive(chunked().partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + tail)
     given = 0
-    while not conn.end and given < 10 * MAX_FRAMING_BYTES:
+    while not conn.ended and given < 10 * MAX_FRAMING_BYTES:
         conn.receive(b"0" * 4096)
         given += 4096
     assert given <= MAX_FRAMING_BYTES + 4096 and b"HTTP/1.1 431 " in conn.take()[0][0]
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from rushweir.edge.backends import REST_MS
+from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.ingress import commands as c
 from rushweir.ingress.engine import ENDING_MS
 from tests.edge.conftest import LIST, SETTINGS, Edge, answer, booking, request
@@ -75,7 +75,7 @@
 def an_idle_connection(edge):
     one_dial(edge)
     edge.receive(edge.links()[0], answer())
-    edge.advance_ms(REST_MS + 5.0)
+    edge.advance_ms(COOLDOWN_MS + 5.0)
     edge.policy.server_pool.rng.seed(1)
     for k in range(2, 9):
         edge.asked(f"r{k}")
@@ -86,7 +86,7 @@
     edge.receive(edge.links()[0], answer())
     for k in range(2, 9):
         edge.asked(f"r{k}")
-    edge.advance_ms(REST_MS)
+    edge.advance_ms(COOLDOWN_MS)
 
 
 def behind_another(edge):
@@ -95,7 +95,7 @@
     edge.up()
     edge.advance_ms(300.0)
     edge.receive(edge.links()[0], answer())
-    edge.advance_ms(REST_MS)
+    edge.advance_ms(COOLDOWN_MS)
     if edge.dials():
         edge.up()
 
@@ -138,9 +138,9 @@
         edge.receive(conn, request(f"w{k}"))
         for dial in edge.dials():
             edge.up(dial)
-        edge.advance_ms(REST_MS)
+        edge.advance_ms(COOLDOWN_MS)
         edge.receive(edge.links()[0], answer())
-        edge.advance_ms(REST_MS)
+        edge.advance_ms(COOLDOWN_MS)
     edge.advance_ms(13_000.0)  # and all connections are gone
     assert not edge.core.pool.links
 
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from rushweir.edge.backends import REST_MS
+from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.discovery_watch import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, WAIT_MS, WORST_MS
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer, booking, request
@@ -40,7 +40,7 @@
         edge.turn()
     if state in ("resting", "idle"):
         edge.receive(dial.conn, answer(b"one"))
-        edge.advance_ms(0.0 if state == "resting" else REST_MS + 1)
+        edge.advance_ms(0.0 if state == "resting" else COOLDOWN_MS + 1)
     return name, dial.conn, conn
 
 
@@ -54,7 +54,7 @@
         edge.receive(source, answer(orjson.dumps(LIST)))
     name, link, conn = at_the_backend(edge, state)
     orders = edge.receive(source, left_out(name, version))
-    assert name not in states(edge) and name not in edge.core.pool.where_listed
+    assert name not in states(edge) and name not in edge.core.pool.listed_endpoints
     assert (link in edge.closed) is (state != "busy")
     if state == "dialing":  # it never was sent, and goes elsewhere
         other, _ = edge.complete_dial([o for o in orders if isinstance(o, c.Dial)])
@@ -63,7 +63,7 @@
         edge.receive(link, answer(b"one"))
         assert link in edge.closed
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"one")
-    assert name not in edge.core.pool.nodes
+    assert name not in edge.core.pool.backends
     before = len(edge.commands)
     for n in range(12):  # whatever comes now goes to the others
         edge.receive(edge.connect(), request(f"r{n}"))
