--- a/tests/edge/event_orders.py
+++ b/tests/edge/event_orders.py
@@ -338,7 +338,7 @@
         if source.state == "dialing":
             self.edge.core.dialed(self.edge.now, source.conn)
             self.do(self.edge.turn())
-        page = self.page([k], False) if source.whole else self.page(range(NODES), True)
+        page = self.page([k], False) if source.has_full_list else self.page(range(NODES), True)
         self.do(self.edge.receive(source.conn, answer(orjson.dumps(page))))
 
     @stateful.precondition(lambda self: self.edge.core.list.state != "away")
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -7,7 +7,15 @@
 import orjson
 import pytest
 
-from rushweir.edge.discovery_watch import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, TRY_MS, WAIT_MS, WORST_MS
+from rushweir.edge.discovery_watch import (
+    ANSWER_TIMEOUT_MS,
+    CALL_MS,
+    CONNECT_TIMEOUT_MS,
+    MAX_CHANGE_DELAY_MS,
+    OLDER_DRAINS_ONLY_MS,
+    RETRY_DELAY_MS,
+    WATCH_WAIT_MS,
+)
 from rushweir.edge.peers import Peers
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer
@@ -101,7 +109,7 @@
         edge.advance_ms(10.0)
         if edge.core.list.state == "dialing":
             edge.receive(connect_discovery(edge), older)
-    assert edge.now - began <= STALE_MS + 2 * PAUSE_MS[1]
+    assert edge.now - began <= OLDER_DRAINS_ONLY_MS + 2 * RETRY_DELAY_MS[1]
 
 
 def test_backend_ready_in_an_older_list_only_stays_draining(edge):
@@ -141,14 +149,16 @@
             if isinstance(order, c.Dial) and order.port == 8500:
                 how = self.step()
                 if how == "dial refused":
-                    self.due.append((self.edge.now + CONNECT_MS, self.edge.core.dial_failed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS, self.edge.core.dial_failed, order.conn))
                 else:
-                    self.due.append((self.edge.now + CONNECT_MS - 1, self.edge.core.dialed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS - 1, self.edge.core.dialed, order.conn))
                     self.how = how
             elif isinstance(order, c.Write) and b"GET /catalog" in order.data:
                 part = {"half": self.page[:70], "good": self.page, "garbage": answer(b"{")}.get(self.how)
                 if part is not None:
-                    self.due.append((self.edge.now + LATE_MS - 1, self.edge.core.received, order.conn, part))
+                    self.due.append(
+                        (self.edge.now + ANSWER_TIMEOUT_MS - 1, self.edge.core.received, order.conn, part)
+                    )
         self.seen = len(self.edge.commands)
 
     def run(self, until_ms, done):
@@ -180,7 +190,7 @@
     edge.receive(conn, answer(orjson.dumps(LIST)))
     # The watch that has just been asked falls silent now, and now the change is there.
     took = Agent(edge, [trouble, "good"]).run(10_000.0, lambda: states(edge)["s-1"] == "draining")
-    assert took <= WORST_MS <= 5_000.0
+    assert took <= MAX_CHANGE_DELAY_MS <= 5_000.0
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
@@ -202,14 +212,14 @@
     edge.core.dial_failed(edge.now, edge.core.list.conn)
     edge.turn()
     for _ in range(20):  # down for long: the pause is as long as it gets
-        edge.advance_ms(PAUSE_MS[1])
+        edge.advance_ms(RETRY_DELAY_MS[1])
         if edge.core.list.state == "dialing":
             edge.core.dial_failed(edge.now, edge.core.list.conn)
             edge.turn()
     began = edge.now
     while edge.core.list.state != "dialing":
         edge.advance_ms(1.0)
-    assert edge.now - began <= PAUSE_MS[1] <= 250.0
+    assert edge.now - began <= RETRY_DELAY_MS[1] <= 250.0
 
 
 def test_older_list_that_persists_is_accepted(edge):
@@ -255,18 +265,18 @@
         for line in (Path(__file__).parents[2] / "docs" / "edge.md").read_text().splitlines()
         if line.startswith("| ") and line.count("|") == 3
     )
-    first, most = PAUSE_MS
+    first, most = RETRY_DELAY_MS
     for figures, said in (
-        (f"{WAIT_MS:,.0f} + {LATE_MS:,.0f}", "the watch that was just asked falls silent"),
-        (f"{2 * first:.0f} + {CONNECT_MS:.0f} + {LATE_MS:.0f}", "a call that comes to nothing"),
-        (f"{first:.0f} + {CONNECT_MS:.0f} + {LATE_MS:.0f}", "the call that brings it"),
-        (f"{WORST_MS:,.0f}, of 6,000", "together"),
-        (f"the same {WORST_MS:,.0f}", "falls silent late"),
-        (f"{TRY_MS + first:,.0f}", "ends instead of telling"),
-        (f"{2 * TRY_MS + 3 * first:,.0f}", "one call in vain before it"),
-        (f"{2 * TRY_MS + 2 * first:,.0f}, of 4,000", "after SIGHUP, at any of these moments"),
+        (f"{WATCH_WAIT_MS:,.0f} + {ANSWER_TIMEOUT_MS:,.0f}", "the watch that was just asked falls silent"),
+        (f"{2 * first:.0f} + {CONNECT_TIMEOUT_MS:.0f} + {ANSWER_TIMEOUT_MS:.0f}", "a call that comes to nothing"),
+        (f"{first:.0f} + {CONNECT_TIMEOUT_MS:.0f} + {ANSWER_TIMEOUT_MS:.0f}", "the call that brings it"),
+        (f"{MAX_CHANGE_DELAY_MS:,.0f}, of 6,000", "together"),
+        (f"the same {MAX_CHANGE_DELAY_MS:,.0f}", "falls silent late"),
+        (f"{CALL_MS + first:,.0f}", "ends instead of telling"),
+        (f"{2 * CALL_MS + 3 * first:,.0f}", "one call in vain before it"),
+        (f"{2 * CALL_MS + 2 * first:,.0f}, of 4,000", "after SIGHUP, at any of these moments"),
         (f"{most:.0f}, then at once", "discovery back"),
-        (f"{STALE_MS:,.0f} and one more call", "an older list: what it lacks"),
-        (f"{STALE_MS + 2 * TRY_MS + most:,.0f}, of 4,000", "a discovery whose versions begin lower"),
+        (f"{OLDER_DRAINS_ONLY_MS:,.0f} and one more call", "an older list: what it lacks"),
+        (f"{OLDER_DRAINS_ONLY_MS + 2 * CALL_MS + most:,.0f}, of 4,000", "a discovery whose versions begin lower"),
     ):  # fmt: skip
         assert said in rows.get(figures, ""), figures
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -9,7 +9,14 @@
 import pytest
 
 from rushweir.edge.backends import COOLDOWN_MS
-from rushweir.edge.discovery_watch import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, WAIT_MS, WORST_MS
+from rushweir.edge.discovery_watch import (
+    ANSWER_TIMEOUT_MS,
+    CONNECT_TIMEOUT_MS,
+    MAX_CHANGE_DELAY_MS,
+    OLDER_DRAINS_ONLY_MS,
+    RETRY_DELAY_MS,
+    WATCH_WAIT_MS,
+)
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 from tests.edge.test_discovery_watch import TROUBLES, Agent, connect_discovery, page, states
@@ -95,7 +102,7 @@
     edge.core.ended(edge.now, source)
     edge.turn()
     took = agent.run(10_000.0, lambda: "s-1" not in states(edge))
-    assert took <= (2 if trouble != "good" else 1) * (CONNECT_MS + LATE_MS) + 3 * PAUSE_MS[0]
+    assert took <= (2 if trouble != "good" else 1) * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + 3 * RETRY_DELAY_MS[0]
 
 
 # --- late silences ------------------------------------------------------------------------------------
@@ -118,7 +125,7 @@
         for order in self.edge.commands[self.seen :]:
             if isinstance(order, c.Write) and b"GET /catalog" in order.data:
                 assert b"timeout_ms=1500" in order.data
-                self.due.append((self.edge.now + WAIT_MS, self.edge.core.received, order.conn, page(7)))
+                self.due.append((self.edge.now + WATCH_WAIT_MS, self.edge.core.received, order.conn, page(7)))
         self.seen = len(self.edge.commands)
 
 
@@ -142,7 +149,7 @@
         what()
         edge.turn()
     agent.run(10_000.0, lambda: "s-1" not in states(edge))
-    assert "s-1" not in states(edge) and edge.now - silent_at <= WORST_MS <= 5_000.0
+    assert "s-1" not in states(edge) and edge.now - silent_at <= MAX_CHANGE_DELAY_MS <= 5_000.0
 
 
 # --- reloads with drains ------------------------------------------------------------------------------
@@ -177,7 +184,10 @@
     edge.core.reload(edge.now, replace(edge.core.setup, discovery=("10.9.0.2", 8500)))
     edge.turn()
     took = agent.run(10_000.0, lambda: states(edge).get("s-1") != "ready")
-    assert source in edge.closed and took <= 2 * (CONNECT_MS + LATE_MS) + 2 * PAUSE_MS[0] <= 3_000.0
+    assert (
+        source in edge.closed
+        and took <= 2 * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + 2 * RETRY_DELAY_MS[0] <= 3_000.0
+    )
 
 
 def test_omission_by_a_new_discovery_with_lower_versions_applies_in_time(edge):
@@ -190,7 +200,12 @@
     edge.turn()
     took = agent.run(10_000.0, lambda: states(edge)["s-1"] == "draining")
     # A call within the second comes too early by a moment, and the next one tells.
-    assert STALE_MS <= took <= STALE_MS + 2 * (CONNECT_MS + LATE_MS) + PAUSE_MS[1] <= RELOAD_MS
+    assert (
+        OLDER_DRAINS_ONLY_MS
+        <= took
+        <= OLDER_DRAINS_ONLY_MS + 2 * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + RETRY_DELAY_MS[1]
+        <= RELOAD_MS
+    )
 
 
 # --- calls ---------------------------------------------------------------------------------------------
