--- a/rushweir/pending_requests.py
+++ b/rushweir/pending_requests.py
@@ -1,44 +1,49 @@
-"""Requests that are owed an answer or have attempts out."""
+"""Requests that wait for a decision or have attempts in flight."""
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.state import ServerRecord
 from rushweir.token_buckets import Customer
 
 
 class PendingRequest:
-    """A request that is owed an answer or has attempts out."""
+    """A request that waits for a decision or has attempts in flight."""
 
     def __init__(
-        self, r: i.Request, cls: i.RequestClass, c: Customer, keep: float, aim_at: float, number: int
+        self,
+        request: interface.Request,
+        request_class: interface.RequestClass,
+        customer: Customer,
+        reserved_share: float,
+        aim_at: float,
+        number: int,
     ) -> None:
-        self.request, self.request_class, self.customer, self.reserved_share, self.aim_at, self.number = (
-            r,
-            cls,
-            c,
-            keep,
-            aim_at,
-            number,
-        )
-        self.reservation = list[tuple[int, float]]()  # room drawn, once it is sent
+        self.request = request
+        self.request_class = request_class
+        self.customer = customer
+        self.reserved_share = reserved_share  # of the in-flight capacity, left to more valuable requests
+        self.aim_at = aim_at
+        self.number = number  # identifies it in messages between gateways
+        self.reservation = list[tuple[int, float]]()  # units taken of each partition, once it is sent
         self.within_quota = self.answered = False
-        self.own_ceiling_pays = False  # whether its door's own part of the ceiling paid
-        self.owner: int | None = None  # who was asked, and how often so far
+        self.own_ceiling_pays = False  # whether this gateway's own share of the ceiling was charged
+        self.owner: int | None = None  # the gateway that was asked, and how often so far
         self.ask_count = 0
-        self.attempts: list[tuple[i.Server, float]] = []
-        self.in_flight: set[int] = set()
-        self.first_executed: tuple[i.Server, float] | None = None  # the first attempt that may have run
+        self.attempts: list[tuple[interface.Server, float]] = []  # where each was sent, and when
+        self.in_flight: set[int] = set()  # numbers of attempts
+        self.first_executed: tuple[interface.Server, float] | None = None  # the first attempt that may have run
 
-    def add_attempt(self, b: ServerRecord, now: float) -> int:
-        """Note an attempt; returns its number."""
-        n = len(self.attempts)
-        self.attempts.append((b.entry, now))
-        self.in_flight.add(n)
+    def add_attempt(self, server: ServerRecord, now: float) -> int:
+        """Record an attempt and return its number."""
+        number = len(self.attempts)
+        self.attempts.append((server.entry, now))
+        self.in_flight.add(number)
         self.customer.open_attempts += 1
-        b.in_flight[(self.request.id, n)] = now
-        if b.idle_connections:
-            b.idle_connections.pop()
-        return n
+        server.in_flight[(self.request.id, number)] = now
+        if server.idle_connections:
+            server.idle_connections.pop()
+        return number
 
     def end_attempt(self, attempt: int) -> None:
+        """Record that an attempt is no longer in flight."""
         self.in_flight.discard(attempt)
         self.customer.open_attempts -= 1
--- a/rushweir/policy/quota.py
+++ b/rushweir/policy/quota.py
@@ -218,7 +218,7 @@
             self.add_unreported(c, more)
         elif t.owner is not None and (more or (over and c.plan.max_in_flight)):
             end = (SETTLE, c.plan_index, c.key, more, over * (1 if t.own_ceiling_pays else 2), t.number)
-            self.outbox.enqueue(t.owner, end, again=over and c.plan.max_in_flight > 0)
+            self.outbox.enqueue(t.owner, end, repeated=over and c.plan.max_in_flight > 0)
 
     def add_unreported(self, c: Customer, units: float) -> None:
         c.unreported_units += units * (c.plan.rate > 0)
--- a/rushweir/token_buckets.py
+++ b/rushweir/token_buckets.py
@@ -1,136 +1,160 @@
-"""Token buckets of customers, and what a gateway knows of each customer."""
+"""Token buckets of customers, and what one gateway knows of each customer's quota."""
 
 import math
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.state import DecayingRate
 
 
-def refilled_tokens(level: float, rate: float, most: float, ms: float) -> float:
-    """A store that was at a level so long ago, filled at so many units a second."""
-    return min(most, level + rate * ms / 1000)
+def refilled_tokens(tokens: float, rate: float, burst: float, elapsed_ms: float) -> float:
+    """The tokens of a bucket after a time, refilled at ``rate`` units per second up to ``burst``."""
+    return min(burst, tokens + rate * elapsed_ms / 1000)
 
 
 class TokenBucket:
-    """A customer's store of units and attempts out, as a keeper holds it or a door was last told."""
+    """A customer's token bucket and attempts in flight, as its owner holds them or as a gateway had them reported."""
 
     __slots__ = ("refilled_at", "ceiling_tokens", "ceiling_refilled_at", "demand", "tokens", "in_flight")
 
-    def __init__(self, level: float, memory: float, now: float) -> None:
-        self.tokens, self.refilled_at, self.demand = level, now, DecayingRate(memory, now)
-        self.ceiling_tokens, self.ceiling_refilled_at = 0.0, now  # what a keeper has of the ceiling
-        self.in_flight = dict[tuple[int, int], float]()  # places taken: by which gateway and number, when
+    def __init__(self, tokens: float, memory_ms: float, now: float) -> None:
+        self.tokens = tokens
+        self.refilled_at = now
+        self.demand = DecayingRate(memory_ms, now)  # units requested
+        self.ceiling_tokens = 0.0  # the owner's share of the ceiling
+        self.ceiling_refilled_at = now
+        self.in_flight = dict[tuple[int, int], float]()  # when each was admitted, by gateway and request number
 
-    def refill(self, rate: float, most: float, now: float) -> None:
-        self.tokens, self.refilled_at = refilled_tokens(self.tokens, rate, most, now - self.refilled_at), now
+    def refill(self, rate: float, burst: float, now: float) -> None:
+        """Refill the quota's tokens up to now."""
+        self.tokens = refilled_tokens(self.tokens, rate, burst, now - self.refilled_at)
+        self.refilled_at = now
 
-    def fill_ceiling(self, rate: float, most: float, now: float) -> None:
-        self.ceiling_tokens, self.ceiling_refilled_at = (
-            refilled_tokens(self.ceiling_tokens, rate, most, now - self.ceiling_refilled_at),
-            now,
-        )
+    def fill_ceiling(self, rate: float, burst: float, now: float) -> None:
+        """Refill the tokens of the owner's share of the ceiling up to now."""
+        self.ceiling_tokens = refilled_tokens(self.ceiling_tokens, rate, burst, now - self.ceiling_refilled_at)
+        self.ceiling_refilled_at = now
 
     def count_in_flight(self, since: float) -> int:
-        """Attempts out; older ones are forgotten."""
+        """Forget the attempts admitted before ``since`` and count the others."""
         while self.in_flight and self.in_flight[first := next(iter(self.in_flight))] < since:
             del self.in_flight[first]
         return len(self.in_flight)
 
-    def settle(self, more: float, over: tuple[int, int] | None, most: float, paid: bool = False) -> None:
-        if over is not None and over not in self.in_flight:
-            return  # told before, or forgotten
-        self.tokens = min(most, self.tokens - more)
-        if over is not None:
-            self.ceiling_tokens -= (
-                more * paid
-            )  # never sent, if it gives back; what was only guessed too high stays spent
-            del self.in_flight[over]
+    def settle(
+        self, extra_units: float, ended: tuple[int, int] | None, burst: float, ceiling_charged: bool = False
+    ) -> None:
+        """Charge units beyond those charged at admission; negative ones are returned.
+
+        ``ended`` names the request, by gateway and number, if it has ended. A repeated report of an end, or one of a
+        forgotten request, changes nothing. ``ceiling_charged``: the owner's share of the ceiling was charged.
+        """
+        if ended is not None and ended not in self.in_flight:
+            return
+        self.tokens = min(burst, self.tokens - extra_units)
+        if ended is not None:
+            # Ceiling tokens return only for a request that was never sent; those of an overestimate stay spent.
+            self.ceiling_tokens -= extra_units * ceiling_charged
+            del self.in_flight[ended]
 
 
 class LeasedShare:
-    """A part of a ceiling: a rate and a burst, given from time to time, and what it had no room for in all; ``kept``:
-    the same as a keeper has it."""
+    """A share of a customer's ceiling that is leased to this gateway: units per second and a burst."""
 
     __slots__ = ("updated_at", "burst", "owner_share", "rate", "overflowed_tokens")
 
     def __init__(self, now: float) -> None:
-        self.rate, self.burst, self.overflowed_tokens, self.updated_at, self.owner_share = (
-            0.0,
-            0.0,
-            0.0,
-            now,
-            (0.0, 0.0),
-        )
+        self.rate = 0.0
+        self.burst = 0.0
+        self.overflowed_tokens = 0.0  # tokens lost at a full bucket so far
+        self.updated_at = now
+        self.owner_share = 0.0, 0.0  # rate and burst of the share held as the customer's first owner
 
 
 class Customer:
-    """What a door knows of one customer: its last word of the store, and what it owes the keeper."""
+    """What a gateway knows of one customer: the owner's last report of its bucket, and the usage not yet reported."""
 
     def __init__(
-        self, plan: i.Plan, index: int, key: int, doors: int, ranks: list[int], store: TokenBucket, began: float
+        self,
+        plan: interface.Plan,
+        plan_index: int,
+        key: int,
+        gateway_count: int,
+        owners: list[int],
+        bucket: TokenBucket,
+        started_at: float,
     ) -> None:
-        self.plan, self.plan_index, self.key, self.gateway_count, self.owners = plan, index, key, doors, ranks
-        self.bucket, self.ceiling_refilled_at, self.last_seen_at, self.reported_at = (
-            store,
-            began,
-            store.refilled_at,
-            -math.inf,
-        )
-        self.reported_tokens = math.inf  # the level as it was told
-        self.open_attempts, self.unasked_demand = (
-            0,
-            0.0,
-        )  # attempts out; units refused on a word since the keeper was asked
-        self.unconfirmed_units = 0.0  # of what it owes, in a message that no answer has come to
-        self.unreported_units, self.granted_share, self.ceiling_tokens = (
-            0.0,
-            1.0,
-            0.0 if plan.ceiling_rate else math.inf,
-        )
-        self.reported_by: int | None = None  # the gateway whose word it was
-        self.gateway_range = 0, 1  # its first door, and how many from it on
-        self.leased_share: LeasedShare | None = None  # the part of the ceiling that it has, where ceilings are lent
-
-    def refill(self, part: float, now: float) -> None:
-        """Fill the store, and of the ceiling what is lent, or this door's own of an even part for all."""
-        p = self.plan
-        self.bucket.refill(p.rate, p.burst, now)
-        if p.ceiling_rate and self.leased_share is not None:
-            full = self.ceiling_tokens + self.leased_share.rate * (now - self.ceiling_refilled_at) / 1000
-            self.ceiling_tokens, self.ceiling_refilled_at = min(full, self.leased_share.burst), now
-            self.leased_share.overflowed_tokens += full - self.ceiling_tokens
-        elif p.ceiling_rate:
-            own, ms = part / self.gateway_count, now - self.ceiling_refilled_at
-            full = refilled_tokens(self.ceiling_tokens, p.ceiling_rate * own, p.ceiling_burst * own, ms)
-            self.ceiling_tokens, self.ceiling_refilled_at = full, now
-
-    def take_question_flags(self, own: bool) -> int:
-        """What a question tells beside its units: whether the keeper is to pay of the ceiling; what was refused."""
-        missed, self.unasked_demand = min(127, int(self.unasked_demand)), 0.0
-        return (not own) + 2 * missed
-
-    def is_low(self, part: float, since: float) -> bool:
-        """Whether the store was told to be below this part of the burst, after ``since``."""
-        return self.reported_tokens < part * self.plan.burst and self.reported_at > since
-
-    def report_usage(self, to: int, again: bool) -> float:
-        """Units that its first keeper is to be told of with a question; none while its answer may be under way."""
+        self.plan = plan
+        self.plan_index = plan_index
+        self.key = key
+        self.gateway_count = gateway_count
+        self.owners = owners
+        self.bucket = bucket
+        self.ceiling_refilled_at = started_at
+        self.last_seen_at = bucket.refilled_at
+        self.reported_at = -math.inf
+        self.reported_tokens = math.inf
+        self.open_attempts = 0
+        self.unasked_demand = 0.0  # units refused by an old report since the owner was asked
+        self.unconfirmed_units = 0.0  # part of the unreported units, in a message that is not yet answered
+        self.unreported_units = 0.0
+        self.granted_share = 1.0  # share of the demand that the quota covers, by the last report
+        self.ceiling_tokens = 0.0 if plan.ceiling_rate else math.inf
+        self.reported_by: int | None = None  # the gateway that sent the last report
+        self.gateway_range = 0, 1  # its first gateway, and how many from it on
+        self.leased_share: LeasedShare | None = None  # where ceilings are leased
+
+    def refill(self, gateways_share: float, now: float) -> None:
+        """Refill the bucket, and of the ceiling the leased share or an equal share of ``gateways_share``."""
+        plan = self.plan
+        self.bucket.refill(plan.rate, plan.burst, now)
+        if plan.ceiling_rate and self.leased_share is not None:
+            tokens = self.ceiling_tokens + self.leased_share.rate * (now - self.ceiling_refilled_at) / 1000
+            self.ceiling_tokens = min(tokens, self.leased_share.burst)
+            self.ceiling_refilled_at = now
+            self.leased_share.overflowed_tokens += tokens - self.ceiling_tokens
+        elif plan.ceiling_rate:
+            own_share = gateways_share / self.gateway_count
+            elapsed_ms = now - self.ceiling_refilled_at
+            tokens = refilled_tokens(
+                self.ceiling_tokens, plan.ceiling_rate * own_share, plan.ceiling_burst * own_share, elapsed_ms
+            )
+            self.ceiling_tokens = tokens
+            self.ceiling_refilled_at = now
+
+    def take_question_flags(self, own_ceiling_pays: bool) -> int:
+        """The flags of a question to the owner; the unasked demand that they report is cleared.
+
+        1 if the owner's share of the ceiling is to be charged, plus 2 for each whole unit of unasked demand, to 127.
+        """
+        unasked_units = min(127, int(self.unasked_demand))
+        self.unasked_demand = 0.0
+        return (not own_ceiling_pays) + 2 * unasked_units
+
+    def is_low(self, share: float, since: float) -> bool:
+        """Whether a report after ``since`` had the bucket below this share of the burst."""
+        return self.reported_tokens < share * self.plan.burst and self.reported_at > since
+
+    def report_usage(self, to: int, repeated: bool) -> float:
+        """Units to report to the first owner with a question; none while the answer to a report may be on its way."""
         if to != self.owners[0]:
             self.unconfirmed_units = 0.0
-        elif self.unconfirmed_units and not again:
+        elif self.unconfirmed_units and not repeated:
             return 0.0
         else:
             self.unconfirmed_units = self.unreported_units
         return self.unconfirmed_units
 
     def confirm_usage(self, source: int) -> bool:
-        """Whether this is its first keeper, which has by now what it was told."""
-        if first := source == self.owners[0]:
-            self.unreported_units, self.unconfirmed_units = self.unreported_units - self.unconfirmed_units, 0.0
-        return first
-
-    def apply_report(self, level: float, share: float, now: float, by: int | None = None) -> None:
-        """Note the keeper's word."""
-        self.reported_by = by
-        self.bucket.tokens, self.reported_tokens, self.granted_share = level, level, share
+        """Whether an answer is from the first owner, which then has received the usage reported to it."""
+        if is_first_owner := source == self.owners[0]:
+            self.unreported_units = self.unreported_units - self.unconfirmed_units
+            self.unconfirmed_units = 0.0
+        return is_first_owner
+
+    def apply_report(self, tokens: float, share: float, now: float, source: int | None = None) -> None:
+        """Take over an owner's report of the bucket and of the share of the demand that it grants."""
+        self.reported_by = source
+        self.bucket.tokens = tokens
+        self.reported_tokens = tokens
+        self.granted_share = share
         self.reported_at = self.bucket.refilled_at = now
