--- a/rushweir/pending_requests.py
+++ b/rushweir/pending_requests.py
@@ -32,6 +32,13 @@
         self.in_flight: set[int] = set()  # numbers of attempts
         self.first_executed: tuple[interface.Server, float] | None = None  # the first attempt that may have run
 
+    def charge_own_ceiling(self) -> bool:
+        """Charge the request to the gateway's own share of the ceiling, once and if it has the tokens."""
+        if not self.own_ceiling_pays and self.customer.ceiling_tokens >= self.request.units:
+            self.own_ceiling_pays = True
+            self.customer.ceiling_tokens = self.customer.ceiling_tokens - self.request.units
+        return self.own_ceiling_pays
+
     def add_attempt(self, server: ServerRecord, now: float) -> int:
         """Record an attempt and return its number."""
         number = len(self.attempts)
--- a/rushweir/policy/__init__.py
+++ b/rushweir/policy/__init__.py
@@ -1,5 +1,7 @@
-"""Every decision of a gateway: Popularity-based Bandwidth Prepartitioning with f2, and demand-share quotas.
-Types, settings, events and actions are in rushweir/interface.py; docs/design.md has the reasons."""
+"""The decisions of a gateway: Popularity-based Bandwidth Prepartitioning with f2, and quotas by demand share.
+
+Settings, events and actions are in rushweir/interface.py; docs/design.md has the reasons.
+"""
 
 from rushweir.policy.gateway_policy import Policy
 
--- a/rushweir/policy/gateway_policy.py
+++ b/rushweir/policy/gateway_policy.py
@@ -157,7 +157,7 @@
         if (
             server is not None
             and order is not None
-            and ((inside and self.quota.owner_charged_ceiling(t)) or self.quota.charge_own_ceiling(t))
+            and ((inside and self.quota.owner_charged_ceiling(t)) or t.charge_own_ceiling())
         ):
             t.within_quota, t.reservation = inside, self.capacity.partitions.reserve(order, r.units)
             return self.send_attempt(t, server)
@@ -203,7 +203,7 @@
             return [self.refusal(r, "room", self.capacity.estimate_wait_ms(r.class_name, r.units))]
         self.serial += 1
         t = self.pending[r.id] = PendingRequest(r, cls, c, keep, now + cls.aim_ms, self.serial % 65536)
-        self.quota.charge_own_ceiling(t)
+        t.charge_own_ceiling()
         return self.ask_owner(t, order)
 
     def send_attempt(self, t: PendingRequest, b: st.ServerRecord) -> list[i.Action]:
--- a/rushweir/policy/quota.py
+++ b/rushweir/policy/quota.py
@@ -1,334 +1,400 @@
-"""Each customer's units: who holds its store, who is asked, and what decides where nobody answers."""
+"""Customers' quotas: who owns a token bucket, whom a gateway asks, and what decides where nobody answers."""
 
 import math
 import random
 from struct import Struct
 from zlib import crc32
 
-from rushweir import interface as i
-from rushweir import state as st
+from rushweir import interface, state
 from rushweir.outbox import Outbox, unpack_entries
 from rushweir.pending_requests import PendingRequest
 from rushweir.policy.time_constants import MEMORY_MS, REPORT_LIFETIME_MS
 from rushweir.token_buckets import Customer, LeasedShare, TokenBucket
 
-OWNER_ORDER = (0, 0, 1)  # who is asked in turn
-MESSAGE_BURST, MAX_ENTRIES_PER_MESSAGE, MESSAGES_FOR_ANSWERS = (
-    15.0,
-    15,
-    5.0,
-)  # messages at once: 1/4 s; entries in 256 bytes; left for answers
-COUNTER_INTERVAL_MS, COUNTER_INTERVAL_FACTORS = (
-    (2.0, 2000.0),
-    (0.95, 1.5),
-)  # between calls of all gateways, and of one; after good and bad
-SURPLUS_BURSTS = 1.5  # times the burst: a total this far behind a full store is put right
-OVERSAMPLING, LOW_SHARE = 1.2, 0.5  # times the share of tries granted: so many still ask, while the store is so low
-OWNER_CEILING_SHARE = 1 / 3  # of a ceiling is its keeper's; the doors' even parts must do when nobody hears anybody
-COUNTER_EPOCH_MS, CUSTOMER_IDLE_MS = 60000.0, 30000.0  # life of a counter name (bounds drift), of customers idle
-ENTRY_FORMAT = Struct(">BBIfBH")  # kind, plan, customer, units or level, over (keep, settle) or share granted, number
-ASK, SETTLE, ADMITTED, REFUSED, COUNTER = 0, 1, 2, 3, -1
+OWNER_ORDER = (0, 0, 1)  # the owners that are asked in turn, by rank
+MESSAGE_BURST = 15.0  # messages that may be sent at once: those of 1/4 s
+MAX_ENTRIES_PER_MESSAGE = 15  # they fill 256 bytes
+MESSAGES_FOR_ANSWERS = 5.0  # questions leave so many messages for answers
+MIN_COUNTER_INTERVAL_MS = 2.0  # between calls of all gateways together
+MAX_COUNTER_INTERVAL_MS = 2000.0  # between calls of one gateway
+COUNTER_INTERVAL_FACTOR_AFTER_SUCCESS = 0.95
+COUNTER_INTERVAL_FACTOR_AFTER_FAILURE = 1.5
+SURPLUS_BURSTS = 1.5  # a counter that has fallen so many bursts behind a full bucket is corrected
+OVERSAMPLING = 1.2  # requests that still ask while the bucket is low, in multiples of the granted share
+LOW_SHARE = 0.5  # of the burst: a bucket below it is low
+OWNER_CEILING_SHARE = 1 / 3  # of a ceiling; the rest, in equal shares, must do while gateways hear nothing
+COUNTER_EPOCH_MS = 60000.0  # a counter's name changes with each epoch, which bounds its drift
+CUSTOMER_IDLE_MS = 30000.0  # idle customers are forgotten after this time
+# Kind, plan, customer, units or tokens, flags (ASK, SETTLE) or granted share, and request number.
+ENTRY_FORMAT = Struct(">BBIfBH")
+ASK, SETTLE, ADMITTED, REFUSED = 0, 1, 2, 3  # kinds of entries
+COUNTER = -1  # stands for an owner whose usage is reported later: to the counter, or with the next question
 
 
 class Quota:
-    """Token buckets by demand share. A customer's whole store lies with one keeper: a gateway among its
-    doors, by rendezvous hashing, or the shared counter. A door holds a request for its bounded answer, unless
-    a fresh word shows that asking is in vain; where no answer comes its even part decides."""
+    """Token buckets by demand share.
 
-    def __init__(self, settings: i.Settings, rng: random.Random, now: float) -> None:
-        self.rng, self.started_at = rng, now
-        self.customers, self.owned_buckets = dict[int, Customer](), dict[int, TokenBucket]()
+    A customer's whole token bucket lies with one owner: a gateway among those that the customer comes through, by
+    rendezvous hashing, or the shared counter. Another gateway holds a request until the owner's answer, for a bounded
+    time, unless a fresh report shows that asking is hopeless. Where no answer comes, its equal share decides.
+    """
+
+    def __init__(self, settings: interface.Settings, rng: random.Random, now: float) -> None:
+        self.rng = rng
+        self.started_at = now
+        self.customers = dict[int, Customer]()  # by the CRC of the name, as all maps of customers here
+        self.owned_buckets = dict[int, TokenBucket]()
         self.outbox = Outbox(
             ENTRY_FORMAT, settings.sharing.messages_per_s, MESSAGE_BURST, MAX_ENTRIES_PER_MESSAGE, now
         )
-        self.held_requests, self.unreported_customers = dict[int, PendingRequest](), dict[int, Customer]()
+        self.held_requests = dict[int, PendingRequest]()  # by request number
+        self.unreported_customers = dict[int, Customer]()
         self.counter_calls: dict[int, list[tuple]] = {}
         self.leased_shares = dict[int, LeasedShare]()
-        self.counter_interval_ms, self.next_call_at, self.swept_at = (
-            COUNTER_INTERVAL_MS[0] * settings.gateways,
-            now,
-            now,
-        )
+        self.counter_interval_ms = MIN_COUNTER_INTERVAL_MS * settings.gateways
+        self.next_call_at = now
+        self.swept_at = now
         self.apply_settings(settings, now)
 
-    def apply_settings(self, settings: i.Settings, now: float) -> None:
-        """Other plans. A customer whose plan is gone keeps it until idle: its ceiling must not be forgotten."""
-        self.settings, self.sharing = settings, settings.sharing
+    def apply_settings(self, settings: interface.Settings, now: float) -> None:
+        """Use other plans. A customer whose plan is gone keeps it until idle, so that its ceiling isn't forgotten."""
+        self.settings = settings
+        self.sharing = settings.sharing
         self.outbox.messages_per_ms = self.sharing.messages_per_s / 1000
-        self.plans = {p.name: (k, p) for k, p in enumerate(settings.plans)}
-        for c in self.customers.values():
-            self.change_plan(c, c.plan.name, now)
-            c.gateway_count, c.owners = self.gateways_and_owners(c.key, *c.gateway_range)
-
-    def change_plan(self, c: Customer, plan: str, now: float) -> None:
-        """To another plan, or to other quotas of the same. Of a ceiling that is new nothing is there yet."""
-        if plan in self.plans and self.plans[plan] != (c.plan_index, c.plan):
-            self.refill(c, now)
-            had, (c.plan_index, c.plan) = c.plan.ceiling_rate, self.plans[plan]
-            c.ceiling_tokens = (c.ceiling_tokens if had else 0.0) if c.plan.ceiling_rate else math.inf
-            c.ceiling_refilled_at = now
-            self.refill(c, now)
-
-    def refill(self, c: Customer, now: float) -> None:
-        c.refill(1 - self.owner_ceiling_share(c.plan), now)
-
-    def apply_lease(self, e: i.Part, now: float) -> None:
-        """Another part of a ceiling. What its bucket has beyond the new burst is gone."""
-        key = crc32(e.customer.encode()) if isinstance(e.customer, str) else e.customer
-        lent, c, store = (
-            self.leased_shares.setdefault(key, LeasedShare(now)),
-            self.customers.get(key),
-            self.owned_buckets.get(key),
-        )
-        if e.as_owner:
-            if store is not None:
-                store.fill_ceiling(*lent.owner_share, now)
-                store.ceiling_tokens = min(store.ceiling_tokens, e.burst)
-            lent.owner_share, lent.updated_at = (e.rate, e.burst), now
+        self.plans = {plan.name: (index, plan) for index, plan in enumerate(settings.plans)}
+        for customer in self.customers.values():
+            self.change_plan(customer, customer.plan.name, now)
+            customer.gateway_count, customer.owners = self.gateways_and_owners(customer.key, *customer.gateway_range)
+
+    def change_plan(self, customer: Customer, plan_name: str, now: float) -> None:
+        """Move a customer to another plan or to other quotas of the same. A new ceiling begins empty."""
+        if plan_name in self.plans and self.plans[plan_name] != (customer.plan_index, customer.plan):
+            self.refill(customer, now)
+            had_ceiling = customer.plan.ceiling_rate
+            customer.plan_index, customer.plan = self.plans[plan_name]
+            customer.ceiling_tokens = (
+                (customer.ceiling_tokens if had_ceiling else 0.0) if customer.plan.ceiling_rate else math.inf
+            )
+            customer.ceiling_refilled_at = now
+            self.refill(customer, now)
+
+    def refill(self, customer: Customer, now: float) -> None:
+        """Refill a customer's bucket and ceiling up to now."""
+        customer.refill(1 - self.owner_ceiling_share(customer.plan), now)
+
+    def apply_lease(self, event: interface.Part, now: float) -> None:
+        """Replace a leased share of a ceiling; tokens beyond its burst are lost."""
+        key = crc32(event.customer.encode()) if isinstance(event.customer, str) else event.customer
+        lease = self.leased_shares.setdefault(key, LeasedShare(now))
+        customer = self.customers.get(key)
+        bucket = self.owned_buckets.get(key)
+        if event.as_owner:
+            if bucket is not None:
+                bucket.fill_ceiling(*lease.owner_share, now)
+                bucket.ceiling_tokens = min(bucket.ceiling_tokens, event.burst)
+            lease.owner_share = event.rate, event.burst
+            lease.updated_at = now
             return
-        if c is not None:
-            self.refill(c, now)
-            c.ceiling_tokens = min(c.ceiling_tokens + e.added_tokens, e.burst)
-        lent.rate, lent.burst, lent.updated_at = e.rate, e.burst, now
+        if customer is not None:
+            self.refill(customer, now)
+            customer.ceiling_tokens = min(customer.ceiling_tokens + event.added_tokens, event.burst)
+        lease.rate = event.rate
+        lease.burst = event.burst
+        lease.updated_at = now
 
-    def gateways_and_owners(self, key: int, first: int, spread: int) -> tuple[int, list[int]]:
-        return st.gateways_and_owners(key, first, spread, self.settings, 1 + max(OWNER_ORDER))
+    def gateways_and_owners(self, key: int, first_gateway: int, gateway_count: int) -> tuple[int, list[int]]:
+        """How many gateways a customer comes through, and its owners."""
+        return state.gateways_and_owners(key, first_gateway, gateway_count, self.settings, 1 + max(OWNER_ORDER))
 
-    def owner_ceiling_share(self, plan: i.Plan) -> float:
-        """Of a ceiling the first keeper has a part, for doors whose even part is spent; unheard it is idle."""
+    def owner_ceiling_share(self, plan: interface.Plan) -> float:
+        """The first owner's share of a ceiling, for gateways whose equal share is spent; idle if it's not reached."""
         return OWNER_CEILING_SHARE if plan.ceiling_rate and self.sharing.peers and not self.sharing.counter else 0.0
 
-    def charge_own_ceiling(self, t: PendingRequest) -> bool:
-        """Take the units from the own part of the ceiling, if it has them."""
-        if not t.own_ceiling_pays and t.customer.ceiling_tokens >= t.request.units:
-            t.own_ceiling_pays, t.customer.ceiling_tokens = True, t.customer.ceiling_tokens - t.request.units
-        return t.own_ceiling_pays
-
-    def owner_charged_ceiling(self, t: PendingRequest) -> bool:
-        """Whether the keeper that let it in paid for it: only the first has a part."""
+    def owner_charged_ceiling(self, request: PendingRequest) -> bool:
+        """Whether the owner that admitted a request charged its share of the ceiling, which only the first has."""
         return (
-            not t.own_ceiling_pays
-            and t.owner is not None
-            and t.owner == t.customer.owners[0]
-            and self.owner_ceiling_share(t.customer.plan) > 0
+            not request.own_ceiling_pays
+            and request.owner is not None
+            and request.owner == request.customer.owners[0]
+            and self.owner_ceiling_share(request.customer.plan) > 0
         )
 
-    def customer(self, r: i.Request, now: float) -> Customer | None:
-        key = crc32(r.customer.encode())
-        c = self.customers.get(key)
-        if c is None:
-            if r.plan not in self.plans:
+    def customer(self, request: interface.Request, now: float) -> Customer | None:
+        """The customer of a request, refilled up to now; None if its plan is unknown."""
+        key = crc32(request.customer.encode())
+        customer = self.customers.get(key)
+        if customer is None:
+            if request.plan not in self.plans:
                 return None
-            index, plan = self.plans[r.plan]
-            doors, ranks = self.gateways_and_owners(key, r.first_gateway, r.gateway_count)
-            # Of a ceiling only the own part is spent; what a predecessor left of it is unknown.
-            store = TokenBucket(plan.burst, MEMORY_MS, now)
-            c = self.customers[key] = Customer(plan, index, key, doors, ranks, store, self.started_at)
-            c.gateway_range = r.first_gateway, r.gateway_count
+            index, plan = self.plans[request.plan]
+            gateway_count, owners = self.gateways_and_owners(key, request.first_gateway, request.gateway_count)
+            # A predecessor may have spent this gateway's share of the ceiling: it fills from this process's start.
+            bucket = TokenBucket(plan.burst, MEMORY_MS, now)
+            customer = Customer(plan, index, key, gateway_count, owners, bucket, self.started_at)
+            self.customers[key] = customer
+            customer.gateway_range = request.first_gateway, request.gateway_count
             if self.sharing.leased_ceilings:
-                c.leased_share = self.leased_shares.setdefault(key, LeasedShare(now))
-                c.ceiling_refilled_at = c.leased_share.updated_at
-        elif c.plan.name != r.plan:
-            self.change_plan(c, r.plan, now)
-        c.last_seen_at = now
-        self.refill(c, now)
-        return c
-
-    def choose_owner(self, c: Customer, asks: int, now: float) -> int | None:
-        if self.sharing.counter and c.owners != [self.settings.gateway]:
-            return COUNTER if c.plan.rate and not asks and now >= self.next_call_at else None
-        if asks >= len(OWNER_ORDER) or not (self.sharing.peers or c.owners == [self.settings.gateway]):
+                customer.leased_share = self.leased_shares.setdefault(key, LeasedShare(now))
+                customer.ceiling_refilled_at = customer.leased_share.updated_at
+        elif customer.plan.name != request.plan:
+            self.change_plan(customer, request.plan, now)
+        customer.last_seen_at = now
+        self.refill(customer, now)
+        return customer
+
+    def choose_owner(self, customer: Customer, ask_count: int, now: float) -> int | None:
+        """The gateway to ask next, or COUNTER; None if nobody can be asked."""
+        this_gateway = self.settings.gateway
+        if self.sharing.counter and customer.owners != [this_gateway]:
+            return COUNTER if customer.plan.rate and not ask_count and now >= self.next_call_at else None
+        if ask_count >= len(OWNER_ORDER) or not (self.sharing.peers or customer.owners == [this_gateway]):
             return None
-        to = c.owners[min(OWNER_ORDER[asks], len(c.owners) - 1)]
-        # A word that comes late is of no use, and was asked for twice more. Answers go first, newcomers last.
-        least = MESSAGES_FOR_ANSWERS * (1 if c.unreported_units or c.reported_by is not None else 2)
-        return to if to == self.settings.gateway or self.outbox.available_messages(now) >= least else None
-
-    def is_hopeless(self, c: Customer, units: float, now: float) -> bool:
-        """Whether by a fresh word the store has too little; or so little, by one not too old, that only a share asks:
-        all doors draw on it, and where words were lost for too much mail all asked again and lost more."""
-        sieved = c.is_low(LOW_SHARE, now - MEMORY_MS) and self.rng.random() > OVERSAMPLING * c.granted_share
-        return c.plan.rate > 0 and (sieved or (now - c.reported_at < REPORT_LIFETIME_MS and c.bucket.tokens < units))
-
-    def decide_by_equal_share(self, t: PendingRequest, now: float) -> bool:
-        """Unasked for lack of mail the share last told decides (once); where none answered, the even part. What is
-        let in is told later, twice if the question came and its answer did not."""
-        c, units, asked = (
-            t.customer,
-            t.request.units,
-            self.sharing.counter or t.ask_count > 1 or not self.sharing.peers,
+        owner = customer.owners[min(OWNER_ORDER[ask_count], len(customer.owners) - 1)]
+        # An answer that comes late is useless, and its question is repeated up to twice. So answers have priority,
+        # and questions about customers that are not known yet come last.
+        known = customer.unreported_units or customer.reported_by is not None
+        least_messages = MESSAGES_FOR_ANSWERS * (1 if known else 2)
+        return owner if owner == this_gateway or self.outbox.available_messages(now) >= least_messages else None
+
+    def is_hopeless(self, customer: Customer, units: float, now: float) -> bool:
+        """Whether asking is hopeless: a fresh report has too few tokens, or the bucket is low and the request is
+        sampled out. All gateways draw on a low bucket; when messages were lost to overload, all asked again and lost
+        more."""
+        is_low = customer.is_low(LOW_SHARE, now - MEMORY_MS)
+        is_sampled_out = is_low and self.rng.random() > OVERSAMPLING * customer.granted_share
+        is_fresh = now - customer.reported_at < REPORT_LIFETIME_MS
+        return customer.plan.rate > 0 and (is_sampled_out or (is_fresh and customer.bucket.tokens < units))
+
+    def decide_by_equal_share(self, request: PendingRequest, now: float) -> bool:
+        """Whether to admit a request without an owner's answer.
+
+        If it was not asked about for lack of messages, the last granted share decides, once; if nobody answered, the
+        equal share does. What is admitted is reported later, twice if the question arrived and its answer did not.
+        """
+        customer = request.customer
+        units = request.request.units
+        asked = self.sharing.counter or request.ask_count > 1 or not self.sharing.peers
+        fresh = not asked or now - customer.reported_at < REPORT_LIFETIME_MS
+        admitted = (
+            customer.bucket.tokens >= units * fresh and customer.bucket.tokens > 0
+            if customer.plan.rate
+            else not customer.open_attempts
         )
-        fresh = not asked or now - c.reported_at < REPORT_LIFETIME_MS
-        inside = c.bucket.tokens >= units * fresh and c.bucket.tokens > 0 if c.plan.rate else not c.open_attempts
-        once = asked or not c.plan.rate or c.is_low(LOW_SHARE, now - MEMORY_MS)
-        inside = inside and (once or self.rng.random() <= c.granted_share)
-        c.unasked_demand += units * (not asked and not inside)
-        t.owner = COUNTER if inside and (fresh or not self.sharing.counter) else None
-        self.add_unreported(c, units * (t.owner == COUNTER))
-        c.bucket.tokens -= units * inside * (1 if fresh else c.gateway_count)
-        return inside
-
-    def decide_as_owner(self, key: int, plan: i.Plan, units: float, now: float, who: tuple[int, int], over=0) -> bool:
-        """A place is known by gateway and number, not by order: ends get lost (h499d24). A question asked again takes
-        nothing. ``over``: 1 if the door has nothing left of the ceiling, and 2 for each unit that it refused on a
-        word since it last asked, or the share would grow as doors ask less."""
-        if (store := self.owned_buckets.get(key)) is None:
-            store = self.owned_buckets[key] = TokenBucket(plan.burst, MEMORY_MS, now)
-            store.ceiling_refilled_at = self.started_at  # of the ceiling a predecessor may have spent all
-        store.refill(plan.rate, plan.burst, now)
-        part, lent = self.owner_ceiling_share(plan), self.leased_shares.get(key)
-        kept = (
-            (plan.ceiling_rate * part, plan.ceiling_burst * part) if not self.sharing.leased_ceilings else (0.0, 0.0)
+        # The share was applied already, by is_hopeless, if the bucket was low.
+        is_sampled = asked or not customer.plan.rate or customer.is_low(LOW_SHARE, now - MEMORY_MS)
+        admitted = admitted and (is_sampled or self.rng.random() <= customer.granted_share)
+        customer.unasked_demand += units * (not asked and not admitted)
+        request.owner = COUNTER if admitted and (fresh or not self.sharing.counter) else None
+        self.add_unreported(customer, units * (request.owner == COUNTER))
+        customer.bucket.tokens -= units * admitted * (1 if fresh else customer.gateway_count)
+        return admitted
+
+    def decide_as_owner(
+        self, key: int, plan: interface.Plan, units: float, now: float, asker: tuple[int, int], flags: int = 0
+    ) -> bool:
+        """Whether to admit a request as the customer's owner.
+
+        ``asker``: the gateway and request number, by which an attempt in flight is known, not by its order, since
+        reports of ends get lost (incident h499d24). A repeated question charges nothing. ``flags``: 1 if the
+        gateway's share of the ceiling is spent, plus 2 for each unit that it refused by a report since it last asked:
+        without them the granted share would grow as gateways ask less.
+        """
+        if (bucket := self.owned_buckets.get(key)) is None:
+            bucket = self.owned_buckets[key] = TokenBucket(plan.burst, MEMORY_MS, now)
+            bucket.ceiling_refilled_at = self.started_at  # a predecessor may have spent all of the ceiling
+        bucket.refill(plan.rate, plan.burst, now)
+        share = self.owner_ceiling_share(plan)
+        lease = self.leased_shares.get(key)
+        ceiling = (
+            (plan.ceiling_rate * share, plan.ceiling_burst * share)
+            if not self.sharing.leased_ceilings
+            else (0.0, 0.0)
         )
-        store.fill_ceiling(*(lent.owner_share if lent is not None else kept), now)
-        taken = store.count_in_flight(now - REPORT_LIFETIME_MS)
-        if who in store.in_flight:
+        bucket.fill_ceiling(*(lease.owner_share if lease is not None else ceiling), now)
+        in_flight = bucket.count_in_flight(now - REPORT_LIFETIME_MS)
+        if asker in bucket.in_flight:
             return True
-        store.demand.add(units + over // 2, now)
-        full = 0 < plan.max_in_flight <= taken
-        inside = (
-            not full and (not plan.rate or store.tokens >= units) and (not over % 2 or store.ceiling_tokens >= units)
-        )
-        if inside:
-            store.tokens -= units
-            store.ceiling_tokens -= units * (over % 2)
-            store.in_flight[who] = now
-        return inside
-
-    def estimate_wait_ms(self, c: Customer, units: float, own: bool = False) -> float:
-        """Advice, where the keeper's store or the own part of the ceiling lacks so much."""
-        store, p, part = self.owned_buckets.get(c.key, c.bucket), c.plan, self.owner_ceiling_share(c.plan)
-        quota = max(0.0, units - store.tokens) * 1000 / (p.rate * c.granted_share + 1e-9) * (p.rate > 0)
-        # The own part of a ceiling fills by itself; without advice the try would be back at once, in vain.
-        lacks = max(0.0, units - c.ceiling_tokens) * c.gateway_count * (own or not part)
-        rate = (
-            c.leased_share.rate * c.gateway_count
-            if c.leased_share and c.leased_share.rate
-            else p.ceiling_rate * (1 - part)
+        bucket.demand.add(units + flags // 2, now)
+        is_full = 0 < plan.max_in_flight <= in_flight
+        admitted = (
+            not is_full
+            and (not plan.rate or bucket.tokens >= units)
+            and (not flags % 2 or bucket.ceiling_tokens >= units)
         )
-        return max(quota, lacks * 1000 / rate if lacks else 0.0)
+        if admitted:
+            bucket.tokens -= units
+            bucket.ceiling_tokens -= units * (flags % 2)
+            bucket.in_flight[asker] = now
+        return admitted
 
-    def settle(self, t: PendingRequest, more: float, over: bool) -> None:
-        c = t.customer
-        if t.owner == self.settings.gateway and c.key in self.owned_buckets:
-            self.owned_buckets[c.key].settle(
-                more, (self.settings.gateway, t.number) if over else None, c.plan.burst, not t.own_ceiling_pays
+    def estimate_wait_ms(self, customer: Customer, units: float, own_ceiling: bool = False) -> float:
+        """When the owner's bucket or the gateway's own share of the ceiling will have the tokens that it lacks."""
+        bucket = self.owned_buckets.get(customer.key, customer.bucket)
+        owner_share = self.owner_ceiling_share(customer.plan)
+        quota_wait_ms = customer.quota_wait_ms(bucket, units)
+        # The gateway's own share of a ceiling refills without a question; without advice the client would retry at
+        # once, in vain.
+        needs_own_ceiling = own_ceiling or not owner_share
+        return max(quota_wait_ms, customer.ceiling_wait_ms(units, 1 - owner_share) if needs_own_ceiling else 0.0)
+
+    def settle(self, request: PendingRequest, extra_units: float, ended: bool) -> None:
+        """Charge units beyond those admitted, or return negative ones, where the request was admitted."""
+        customer = request.customer
+        if request.owner == self.settings.gateway and customer.key in self.owned_buckets:
+            self.owned_buckets[customer.key].settle(
+                extra_units,
+                (self.settings.gateway, request.number) if ended else None,
+                customer.plan.burst,
+                not request.own_ceiling_pays,
             )
-        elif t.owner == COUNTER:
-            self.add_unreported(c, more)
-        elif t.owner is not None and (more or (over and c.plan.max_in_flight)):
-            end = (SETTLE, c.plan_index, c.key, more, over * (1 if t.own_ceiling_pays else 2), t.number)
-            self.outbox.enqueue(t.owner, end, repeated=over and c.plan.max_in_flight > 0)
-
-    def add_unreported(self, c: Customer, units: float) -> None:
-        c.unreported_units += units * (c.plan.rate > 0)
+        elif request.owner == COUNTER:
+            self.add_unreported(customer, extra_units)
+        elif request.owner is not None and (extra_units or (ended and customer.plan.max_in_flight)):
+            flags = ended * (1 if request.own_ceiling_pays else 2)
+            entry = (SETTLE, customer.plan_index, customer.key, extra_units, flags, request.number)
+            self.outbox.enqueue(request.owner, entry, repeated=ended and customer.plan.max_in_flight > 0)
+
+    def add_unreported(self, customer: Customer, units: float) -> None:
+        """Note usage to be reported later."""
+        customer.unreported_units += units * (customer.plan.rate > 0)
         if units and self.sharing.counter:
-            self.unreported_customers[c.key] = c
-
-    def admits_unasked(self, t: PendingRequest, now: float) -> bool:
-        """Whether it is let in unasked, and told later: there is no quota but a ceiling, or the door's even part of
-        the store that its first keeper told holds the try. A word counts while a keeper can answer all doors with
-        half of its messages. Harm: other demand shows that much later."""
-        c, p, left = (
-            t.customer,
-            t.customer.plan,
-            t.customer.bucket.tokens - t.request.units * t.customer.gateway_count,
-        )
-        life = min(
-            REPORT_LIFETIME_MS * max(1.0, 2 * c.gateway_count / (self.sharing.messages_per_s + 1e-9)),
+            self.unreported_customers[customer.key] = customer
+
+    def admits_unasked(self, request: PendingRequest, now: float) -> bool:
+        """Whether a request is admitted without a question, and reported later.
+
+        So it is where the plan has a ceiling only, or where the gateway's equal share of the bucket that its first
+        owner reported covers the request. A report counts for as long as the owner needs to answer all gateways with
+        half of its messages; that much later it sees other demand.
+        """
+        customer = request.customer
+        plan = request.customer.plan
+        tokens_left = request.customer.bucket.tokens - request.request.units * request.customer.gateway_count
+        lifetime_ms = min(
+            REPORT_LIFETIME_MS * max(1.0, 2 * customer.gateway_count / (self.sharing.messages_per_s + 1e-9)),
             CUSTOMER_IDLE_MS,
         )
-        heard = left >= 0 and now - c.reported_at <= life and c.reported_by == c.owners[0]
-        if not t.own_ceiling_pays or p.max_in_flight or self.sharing.counter or (p.rate and not heard):
+        is_covered = (
+            tokens_left >= 0
+            and now - customer.reported_at <= lifetime_ms
+            and customer.reported_by == customer.owners[0]
+        )
+        if (
+            not request.own_ceiling_pays
+            or plan.max_in_flight
+            or self.sharing.counter
+            or (plan.rate and not is_covered)
+        ):
             return False
-        t.owner, c.bucket.tokens = COUNTER, left
-        self.add_unreported(c, t.request.units)
+        request.owner = COUNTER
+        customer.bucket.tokens = tokens_left
+        self.add_unreported(customer, request.request.units)
         return True
 
-    def enqueue_question(self, t: PendingRequest) -> None:
-        self.held_requests[t.number] = t
-        if units := t.customer.report_usage(t.owner, t.ask_count > 1):
-            self.outbox.enqueue(t.owner, (SETTLE, t.customer.plan_index, t.customer.key, units, 0, 0))
-        self.outbox.enqueue(
-            t.owner,
-            (
-                ASK,
-                t.customer.plan_index,
-                t.customer.key,
-                t.request.units,
-                t.customer.take_question_flags(t.own_ceiling_pays),
-                t.number,
-            ),
-        )
+    def enqueue_question(self, request: PendingRequest) -> None:
+        """Ask the request's owner, with the usage that is not reported yet, and hold the request."""
+        customer = request.customer
+        self.held_requests[request.number] = request
+        if units := customer.report_usage(request.owner, request.ask_count > 1):
+            self.outbox.enqueue(request.owner, (SETTLE, customer.plan_index, customer.key, units, 0, 0))
+        flags = customer.take_question_flags(request.own_ceiling_pays)
+        entry = (ASK, customer.plan_index, customer.key, request.request.units, flags, request.number)
+        self.outbox.enqueue(request.owner, entry)
 
-    def call_counter(self, c: Customer, units: float, t: PendingRequest | None, now: float) -> i.Count:
+    def call_counter(
+        self, customer: Customer, units: float, request: PendingRequest | None, now: float
+    ) -> interface.Count:
+        """Add a request's units, and those not reported yet, to the customer's counter."""
         epoch = now // COUNTER_EPOCH_MS
-        name = c.key * 65536 + int(epoch) % 65536
-        amount, c.unreported_units = units + c.unreported_units, 0.0
+        name = customer.key * 65536 + int(epoch) % 65536
+        amount = units + customer.unreported_units
+        customer.unreported_units = 0.0
         self.next_call_at = now + self.counter_interval_ms
-        self.counter_calls.setdefault(name, []).append((c, units, t, epoch * COUNTER_EPOCH_MS))
-        return i.Count(name, amount, COUNTER_EPOCH_MS)
+        self.counter_calls.setdefault(name, []).append((customer, units, request, epoch * COUNTER_EPOCH_MS))
+        return interface.Count(name, amount, COUNTER_EPOCH_MS)
 
-    def handle_count(self, e: i.Counted, now: float) -> list[tuple[PendingRequest, bool | None]]:
-        if not self.counter_calls.get(e.name):
+    def handle_count(self, event: interface.Counted, now: float) -> list[tuple[PendingRequest, bool | None]]:
+        """The request that a counter call decides, if any: whether it is admitted, or None if the call failed."""
+        if not self.counter_calls.get(event.name):
             return []
-        c, units, ticket, began = self.counter_calls[e.name].pop(0)
-        held, plan, good = [] if ticket is None else [ticket], c.plan, e.result is i.Result.OK
+        customer, units, request, epoch_at = self.counter_calls[event.name].pop(0)
+        held = [] if request is None else [request]
+        plan = customer.plan
+        succeeded = event.result is interface.Result.OK
+        factor = COUNTER_INTERVAL_FACTOR_AFTER_SUCCESS if succeeded else COUNTER_INTERVAL_FACTOR_AFTER_FAILURE
         self.counter_interval_ms = min(
-            max(self.counter_interval_ms * COUNTER_INTERVAL_FACTORS[0 if good else 1], COUNTER_INTERVAL_MS[0]),
-            COUNTER_INTERVAL_MS[1],
+            max(self.counter_interval_ms * factor, MIN_COUNTER_INTERVAL_MS), MAX_COUNTER_INTERVAL_MS
         )
-        if not good:
-            return [(t, None) for t in held]
-        level = plan.burst + plan.rate * (now - began) / 1000 - (e.value - units)
-        if level > SURPLUS_BURSTS * plan.burst:  # overflowed by more than is worth a call
-            self.add_unreported(c, level - plan.burst)
-        inside = min(level, plan.burst) >= units
-        c.apply_report(min(level, plan.burst) - units * inside, 1.0, now)
-        self.add_unreported(c, units * inside - units)
-        return [(t, inside) for t in held]
-
-    def handle_message(self, e: i.PeerMessage | i.Counted, now: float) -> list[tuple[PendingRequest, bool | None]]:
-        """The held requests that are answered; what is asked of this keeper is answered by mail."""
-        if isinstance(e, i.Counted):
-            return self.handle_count(e, now)
-        answered = []
-        for kind, index, key, units, over, number in unpack_entries(ENTRY_FORMAT, e.text):
-            c, plan = self.customers.get(key), self.settings.plans[min(index, len(self.settings.plans) - 1)]
+        if not succeeded:
+            return [(held_request, None) for held_request in held]
+        tokens = plan.burst + plan.rate * (now - epoch_at) / 1000 - (event.value - units)
+        if tokens > SURPLUS_BURSTS * plan.burst:  # a smaller surplus isn't worth a call
+            self.add_unreported(customer, tokens - plan.burst)
+        admitted = min(tokens, plan.burst) >= units
+        customer.apply_report(min(tokens, plan.burst) - units * admitted, 1.0, now)
+        self.add_unreported(customer, units * admitted - units)
+        return [(held_request, admitted) for held_request in held]
+
+    def handle_message(
+        self, event: interface.PeerMessage | interface.Counted, now: float
+    ) -> list[tuple[PendingRequest, bool | None]]:
+        """The held requests that a peer's message or the counter decides; questions to this owner are answered.
+
+        An answer has the bucket's tokens and the share of the demand that the quota covers.
+        """
+        if isinstance(event, interface.Counted):
+            return self.handle_count(event, now)
+        decided = []
+        for kind, index, key, units, flags, number in unpack_entries(ENTRY_FORMAT, event.text):
+            customer = self.customers.get(key)
+            plan = self.settings.plans[min(index, len(self.settings.plans) - 1)]
             if kind == ASK:
-                told = ADMITTED if self.decide_as_owner(key, plan, units, now, (e.source, number), over) else REFUSED
-                store, share = self.owned_buckets[key], plan.rate / (self.owned_buckets[key].demand.per_s(now) + 1e-9)
-                self.outbox.enqueue(e.source, (told, index, key, store.tokens, int(min(share, 1) * 255), number))
-            elif kind == SETTLE and (store := self.owned_buckets.get(key)):
-                store.settle(units, (e.source, number) if over else None, plan.burst, over == 2)
-                store.demand.add(units * (not number), now)  # was not asked about
-            elif kind in (ADMITTED, REFUSED) and c is not None:
-                if c.confirm_usage(e.source) or now - c.reported_at > MEMORY_MS:  # a second keeper knows little
-                    c.apply_report(min(units, c.plan.burst), over / 255, now, e.source)
-                if (t := self.held_requests.pop(number, None)) is not None:
-                    t.owner = e.source
-                    answered.append((t, kind == ADMITTED))
-        return answered
-
-    def tick(self, now: float) -> list[i.Action]:
-        calls: list[i.Action] = []
-        # Ends: of seven words one was lost on a fleet, and its place lay idle for a second.
+                admitted = self.decide_as_owner(key, plan, units, now, (event.source, number), flags)
+                bucket = self.owned_buckets[key]
+                share = plan.rate / (bucket.demand.per_s(now) + 1e-9)
+                answer = ADMITTED if admitted else REFUSED
+                entry = (answer, index, key, bucket.tokens, int(min(share, 1) * 255), number)
+                self.outbox.enqueue(event.source, entry)
+            elif kind == SETTLE and (bucket := self.owned_buckets.get(key)):
+                bucket.settle(units, (event.source, number) if flags else None, plan.burst, flags == 2)
+                bucket.demand.add(units * (not number), now)  # usage without a question has number 0
+            elif kind in (ADMITTED, REFUSED) and customer is not None:
+                # A second owner knows little: its report counts only in place of an old one.
+                if customer.confirm_usage(event.source) or now - customer.reported_at > MEMORY_MS:
+                    customer.apply_report(min(units, customer.plan.burst), flags / 255, now, event.source)
+                if (request := self.held_requests.pop(number, None)) is not None:
+                    request.owner = event.source
+                    decided.append((request, kind == ADMITTED))
+        return decided
+
+    def tick(self, now: float) -> list[interface.Action]:
+        """Call the counter for unreported usage, repeat reports of ends and forget what is idle."""
+        calls: list[interface.Action] = []
+        # One report of an end in seven was lost on a fleet, and the attempt counted for a second more.
         self.outbox.enqueue_repeats()
         while self.unreported_customers and now >= self.next_call_at:
             calls.append(self.call_counter(self.unreported_customers.popitem()[1], 0.0, None, now))
         if now - self.swept_at >= CUSTOMER_IDLE_MS / 10:
             self.swept_at = now
-            self.customers = {
-                n: c for n, c in self.customers.items() if now - c.last_seen_at < CUSTOMER_IDLE_MS or c.open_attempts
-            }
-            self.owned_buckets = {
-                k: s for k, s in self.owned_buckets.items() if now - s.refilled_at < CUSTOMER_IDLE_MS
-            }
-            self.leased_shares = {
-                k: x
-                for k, x in self.leased_shares.items()
-                if k in self.customers or now - x.updated_at < CUSTOMER_IDLE_MS
-            }
-            self.counter_calls = {n: calls for n, calls in self.counter_calls.items() if calls}
-            self.held_requests = {k: t for k, t in self.held_requests.items() if now < t.request.not_after_ms}
+            self._sweep(now)
         return calls
+
+    def _sweep(self, now: float) -> None:
+        """Forget idle customers, buckets and shares, calls that are over and held requests past their time."""
+        self.customers = {
+            key: customer
+            for key, customer in self.customers.items()
+            if now - customer.last_seen_at < CUSTOMER_IDLE_MS or customer.open_attempts
+        }
+        self.owned_buckets = {
+            key: bucket for key, bucket in self.owned_buckets.items() if now - bucket.refilled_at < CUSTOMER_IDLE_MS
+        }
+        self.leased_shares = {
+            key: lease
+            for key, lease in self.leased_shares.items()
+            if key in self.customers or now - lease.updated_at < CUSTOMER_IDLE_MS
+        }
+        self.counter_calls = {name: calls for name, calls in self.counter_calls.items() if calls}
+        self.held_requests = {
+            number: request for number, request in self.held_requests.items() if now < request.request.not_after_ms
+        }
--- a/rushweir/policy/time_constants.py
+++ b/rushweir/policy/time_constants.py
@@ -1,3 +1,4 @@
-"""What several of the decisions remember, and for how long."""
+"""Time constants that several parts of the policy share, in milliseconds."""
 
-MEMORY_MS, REPORT_LIFETIME_MS = 4000.0, 1000.0  # of units finished and failures; of a word, or an end not told
+MEMORY_MS = 4000.0  # time constant of finished units, failures and demand
+REPORT_LIFETIME_MS = 1000.0  # a report counts for so long, and an attempt whose end was not reported
--- a/rushweir/token_buckets.py
+++ b/rushweir/token_buckets.py
@@ -121,6 +121,21 @@
             self.ceiling_tokens = tokens
             self.ceiling_refilled_at = now
 
+    def quota_wait_ms(self, bucket: TokenBucket, units: float) -> float:
+        """When a bucket will have the tokens that it lacks, at the granted share of the rate."""
+        missing = max(0.0, units - bucket.tokens)
+        return missing * 1000 / (self.plan.rate * self.granted_share + 1e-9) * (self.plan.rate > 0)
+
+    def ceiling_wait_ms(self, units: float, gateways_share: float) -> float:
+        """When this gateway's share of the ceiling will have the tokens that it lacks."""
+        missing = max(0.0, units - self.ceiling_tokens) * self.gateway_count
+        rate = (
+            self.leased_share.rate * self.gateway_count
+            if self.leased_share and self.leased_share.rate
+            else self.plan.ceiling_rate * gateways_share
+        )
+        return missing * 1000 / rate if missing else 0.0
+
     def take_question_flags(self, own_ceiling_pays: bool) -> int:
         """The flags of a question to the owner; the unasked demand that they report is cleared.
 
