--- a/rushweir/policy/gateway_policy.py
+++ b/rushweir/policy/gateway_policy.py
@@ -1,277 +1,344 @@
-"""One gateway: what its events lead to, with quota, room and servers asked in turn."""
+"""The policy of one gateway: what each event leads to, by quota, in-flight capacity and servers in turn."""
 
 import random
 
-from rushweir import interface as i
-from rushweir import state as st
+from rushweir import interface
 from rushweir.pending_requests import PendingRequest
 from rushweir.policy.in_flight_capacity import LENGTH_ALPHA, InFlightCapacity
 from rushweir.policy.load_balancing import ServerPool
 from rushweir.policy.quota import COUNTER, OWNER_ORDER, Quota
 from rushweir.policy.time_constants import REPORT_LIFETIME_MS
+from rushweir.state import ServerRecord
 from rushweir.token_buckets import Customer
 
-TICK_MS = 100.0  # parts, mail that waits and what is owed to the counter are looked after this often
-ASK_TIMEOUT_MS = 60.0  # wait for a keeper's answer: two ways and two ticks
-OVER_QUOTA_MAX_UTILIZATION = 0.35  # of the room: open to work beyond quotas
-RETRY_TOKENS_PER_SUCCESS, MAX_RETRY_TOKENS = (
-    0.3,
-    30.0,
-)  # retry budget per answer in time, and at most of all: no retry storm
-ATTEMPT_LIMIT_AIM_SHARE, ATTEMPT_LIMIT_MEDIANS = (
-    0.4,
-    6.0,
-)  # of the aim, and of the median time: then an attempt counts as lost
+TICK_MS = 100.0  # between repartitions, and looks at waiting messages and unreported usage
+ASK_TIMEOUT_MS = 60.0  # wait for an owner's answer: two transits and two ticks
+OVER_QUOTA_MAX_UTILIZATION = 0.35  # of the in-flight capacity, above which nothing over its quota is admitted
+RETRY_TOKENS_PER_SUCCESS = 0.3  # each answer in time adds so much to the retry budget, against retry storms
+MAX_RETRY_TOKENS = 30.0  # of all gateways together
+ATTEMPT_LIMIT_AIM_SHARE = 0.4  # an attempt counts as lost after this share of the aim ...
+ATTEMPT_LIMIT_MEDIANS = 6.0  # ... or so many times the median time, if that is more
+
+REQUEST_NUMBERS = 65536  # the number of a request has two bytes in messages
+TICK_TIMER = 0
+WATCH_TIMER = 1
+FIRST_CHECK_TIMER = 2  # serials of requests and check timers start here or above
 
 
 class Policy:
-    """One gateway's decisions, and the requests that are owed an answer; interface.py has the contract."""
+    """One gateway's decisions, and the requests that wait for their answer; interface.py has the contract."""
 
-    def __init__(self, settings: i.Settings, seed: int, now_ms: float) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, now_ms: float) -> None:
+        """Raises ValueError if there are no classes or plans, or the gateway's number is not below the count."""
         if not (settings.classes and settings.plans and 0 <= settings.gateway < settings.gateways):
             raise ValueError("settings need classes, plans and a gateway number below the count")
         rng = random.Random(seed)
-        self.settings, self.now = settings, now_ms
+        self.settings = settings
+        self.now = now_ms
         self.retry_tokens = self.max_retry_tokens = 1 + MAX_RETRY_TOKENS / settings.gateways
-        self.quota, self.capacity = Quota(settings, rng, now_ms), InFlightCapacity(settings, now_ms)
-        self.server_pool, self.pending = ServerPool(settings, rng, now_ms), dict[str, PendingRequest]()
-        self.checks, self.serial = dict[int, tuple[str, int, float]](), rng.randrange(2, 65536)
+        self.quota = Quota(settings, rng, now_ms)
+        self.capacity = InFlightCapacity(settings, now_ms)
+        self.server_pool = ServerPool(settings, rng, now_ms)
+        self.pending = dict[str, PendingRequest]()
+        # What each check timer looks at: a request's id, and an attempt's number and the time to add before it counts
+        # as lost, or a negative number of questions to owners.
+        self.checks = dict[int, tuple[str, int, float]]()
+        self.serial = rng.randrange(FIRST_CHECK_TIMER, REQUEST_NUMBERS)
 
-    def start(self) -> list[i.Action]:
-        return [i.SetTimer(0, TICK_MS), *([i.Watch()] if self.settings.ask_discovery else [])]
+    def start(self) -> list[interface.Action]:
+        """The actions to begin with."""
+        return [
+            interface.SetTimer(TICK_TIMER, TICK_MS),
+            *([interface.Watch()] if self.settings.ask_discovery else []),
+        ]
 
-    def handle(self, now_ms: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now_ms: float, event: interface.Event) -> list[interface.Action]:
+        """The actions that an event leads to, with the messages that may be sent by now."""
         self.now = now_ms
         actions = self.process_event(event)
-        mail = self.quota.outbox.flush(now_ms) if self.quota.outbox.waiting else ()
-        return [*actions, *(i.Tell(text, to) for to, text in mail)] if mail else actions
+        messages = self.quota.outbox.flush(now_ms) if self.quota.outbox.waiting else ()
+        return [*actions, *(interface.Tell(text, to) for to, text in messages)] if messages else actions
 
-    def process_event(self, event: i.Event) -> list[i.Action]:
+    def process_event(self, event: interface.Event) -> list[interface.Action]:
+        """The actions that an event leads to, without messages to peers."""
         match event:
-            case i.Request():
+            case interface.Request():
                 return self.handle_request(event)
-            case i.Outcome():
+            case interface.Outcome():
                 return self.handle_outcome(event)
-            case i.Timer(ref=0):
+            case interface.Timer(ref=0):  # TICK_TIMER
                 self.capacity.partition(self.server_pool.warm_ready_count(self.now), self.now)
-                return [*self.quota.tick(self.now), i.SetTimer(0, TICK_MS)]
-            case i.Timer(ref=1):
-                return [i.Watch()]
-            case i.Timer():
+                return [*self.quota.tick(self.now), interface.SetTimer(TICK_TIMER, TICK_MS)]
+            case interface.Timer(ref=1):  # WATCH_TIMER
+                return [interface.Watch()]
+            case interface.Timer():
                 return self.run_check(*self.checks.pop(event.ref))
-            case i.PeerMessage() | i.Counted():
-                answers = self.quota.handle_message(event, self.now)
-                return [a for t, told in answers for a in self.decide(t, told)]
-            case i.Members():
+            case interface.PeerMessage() | interface.Counted():
+                decided = self.quota.handle_message(event, self.now)
+                return [action for request, admitted in decided for action in self.decide(request, admitted)]
+            case interface.Members():
                 self.server_pool.update_members(event, self.now)
                 self.capacity.partition(self.server_pool.warm_ready_count(self.now), self.now)
-                return [i.SetTimer(1, REPORT_LIFETIME_MS)] * (
-                    event.scope is i.Scope.FAILED and self.settings.ask_discovery
-                )
-            case i.Part():
+                watch_again = event.scope is interface.Scope.FAILED and self.settings.ask_discovery
+                return [interface.SetTimer(WATCH_TIMER, REPORT_LIFETIME_MS)] * watch_again
+            case interface.Part():
                 self.quota.apply_lease(event, self.now)
-            case i.Settings():  # of the same gateway; what was learnt stays
+            case interface.Settings():  # of the same gateway; what was learned stays
                 self.settings = event
                 self.quota.apply_settings(event, self.now)
-                self.capacity.apply_settings(event, {t.request.class_name for t in self.pending.values()}, self.now)
+                open_classes = {request.request.class_name for request in self.pending.values()}
+                self.capacity.apply_settings(event, open_classes, self.now)
                 self.server_pool.apply_settings(event)
-            case i.Gone() | i.FirstByte() if event.id in self.pending:
+            case interface.Gone() | interface.FirstByte() if event.id in self.pending:
                 self.finish(self.pending[event.id])
         return []
 
-    def run_check(self, rid: str, n: int, more_ms: float) -> list[i.Action]:
-        t = self.pending.get(rid)
-        if t is None or t.answered:
+    def run_check(self, request_id: str, attempt: int, extra_ms: float) -> list[interface.Action]:
+        """Look at a request as its check timer expires.
+
+        A negative ``attempt`` counts the questions so far: the next owner is asked if none has answered. Otherwise
+        the attempt has outlived several usual answers. ``extra_ms``: the time it is given more, if its server answers
+        others.
+        """
+        request = self.pending.get(request_id)
+        if request is None or request.answered:
             return []
-        if n < 0:  # still held: ask again
-            return self.ask_owner(t) if t.ask_count == -n and not t.attempts else []
-        # Lost: it outlived several usual answers, and its server answered nobody since. Repeated only in time: late
-        # repeats jammed a fleet (L33b1c1). Harm: with servers that nobody else tries, a long request is sent twice.
-        b = self.server_pool.servers.get(t.attempts[n][0].address)
-        if n not in t.in_flight:
+        if attempt < 0:
+            return self.ask_owner(request) if request.ask_count == -attempt and not request.attempts else []
+        server = self.server_pool.servers.get(request.attempts[attempt][0].address)
+        if attempt not in request.in_flight:
             return []
-        alive = b is not None and b.last_answer_at >= t.attempts[n][1]
-        if alive and (more_ms or self.capacity.under_pressure(self.now)):
-            # Its server answers others: it is long, or its connection swallowed it. Long ones get as much time again,
-            # on slow kinds and cold servers more; then it is lost, unless all are long. Harm: longer ones begin anew.
-            return [self.schedule_check(t, n, more_ms)] if more_ms else []
-        if self.settings.limits.cancel and t.request_class.effect is not i.Effect.UNSAFE and self.is_retry_useful(t):
-            return [i.Cancel(rid, n)]
-        if not alive:
-            self.capacity.partitions.release(t.reservation)
-            t.reservation = []
+        server_answers = server is not None and server.last_answer_at >= request.attempts[attempt][1]
+        if server_answers and (extra_ms or self.capacity.under_pressure(self.now)):
+            # Its server answers others, so the request is long or its connection swallowed it. It gets as much time
+            # again, more on slow kinds and cold servers, and then counts as lost, unless all requests take long. One
+            # that takes longer still starts anew.
+            return [self.schedule_check(request, attempt, extra_ms)] if extra_ms else []
+        # The attempt counts as lost. It is repeated only in time: late repeats jammed a fleet (incident L33b1c1).
+        # With servers that nobody else tries, a long request is sent twice.
+        may_cancel = self.settings.limits.cancel and request.request_class.effect is not interface.Effect.UNSAFE
+        if may_cancel and self.is_retry_useful(request):
+            return [interface.Cancel(request_id, attempt)]
+        if not server_answers:
+            self.capacity.partitions.release(request.reservation)
+            request.reservation = []
         return []
 
-    def is_retry_useful(self, t: PendingRequest) -> bool:
+    def is_retry_useful(self, request: PendingRequest) -> bool:
         """Whether one more attempt is within the limits, and likely to end within the aim."""
-        ends = self.now + self.capacity.lengths[t.request.class_name].value
-        left = self.retry_tokens >= 1 and len(t.attempts) < self.settings.limits.max_attempts
-        return left and ends < min(t.aim_at, t.request.not_after_ms)
+        ends_at = self.now + self.capacity.lengths[request.request.class_name].value
+        is_allowed = self.retry_tokens >= 1 and len(request.attempts) < self.settings.limits.max_attempts
+        return is_allowed and ends_at < min(request.aim_at, request.request.not_after_ms)
 
-    def ask_owner(self, t: PendingRequest, order: list[int] | None = None) -> list[i.Action]:
-        """``order``: the parts it may draw from, where that was looked at just now."""
-        c, units, now = t.customer, t.request.units, self.now
-        own = int(c.plan.max_in_flight / c.gateway_count + 0.5)
-        if own and not c.plan.rate:
-            # On busy mail a place lies with its keeper for long. Where each door has one of its own to give it needs
-            # no word. Harm: a customer that asks all doors at once gets up to half a place more for each of them.
-            return self.decide(t, c.open_attempts < own, order)
-        t.owner = self.quota.choose_owner(c, t.ask_count, now)
-        t.owner = t.owner if t.own_ceiling_pays or t.owner == c.owners[0] else None  # none but the first pays
-        t.ask_count += 1
-        if t.owner == self.settings.gateway:
-            who = (self.settings.gateway, t.number)
-            return self.decide(
-                t,
-                self.quota.decide_as_owner(c.key, c.plan, units, now, who, c.take_question_flags(t.own_ceiling_pays)),
-                order,
-            )
-        if self.quota.admits_unasked(t, now):
-            return self.decide(t, True, order)
-        if t.owner is None or now + ASK_TIMEOUT_MS * len(OWNER_ORDER) > t.request.not_after_ms:
-            return self.decide(t, self.quota.decide_by_equal_share(t, now), order)
-        if t.owner == COUNTER:  # needs no timer: a call always ends by itself
-            return [self.quota.call_counter(c, units, t, now)]
-        self.quota.enqueue_question(t)
-        return [self.schedule_check(t, -t.ask_count, ASK_TIMEOUT_MS)]
+    def ask_owner(self, request: PendingRequest, order: list[int] | None = None) -> list[interface.Action]:
+        """Decide on a request by its customer's quota, or ask the owner of its bucket.
 
-    def schedule_check(self, t: PendingRequest, n: int, after_ms: float, more_ms: float = 0.0) -> i.SetTimer:
+        ``order``: the partitions that it may reserve from, if they were looked up just now.
+        """
+        customer = request.customer
+        units = request.request.units
+        now = self.now
+        own_limit = int(customer.plan.max_in_flight / customer.gateway_count + 0.5)
+        if own_limit and not customer.plan.rate:
+            # With many messages an end reaches the owner late, and the attempt counts until then. Where each gateway
+            # has an attempt of its own to grant, it asks nobody. A customer that uses all gateways at once gets up to
+            # half an attempt more for each of them.
+            return self.decide(request, customer.open_attempts < own_limit, order)
+        request.owner = self.quota.choose_owner(customer, request.ask_count, now)
+        # Only the first owner has a share of the ceiling to charge.
+        can_pay = request.own_ceiling_pays or request.owner == customer.owners[0]
+        request.owner = request.owner if can_pay else None
+        request.ask_count += 1
+        if request.owner == self.settings.gateway:
+            asker = (self.settings.gateway, request.number)
+            flags = customer.take_question_flags(request.own_ceiling_pays)
+            admitted = self.quota.decide_as_owner(customer.key, customer.plan, units, now, asker, flags)
+            return self.decide(request, admitted, order)
+        if self.quota.admits_unasked(request, now):
+            return self.decide(request, True, order)
+        if request.owner is None or now + ASK_TIMEOUT_MS * len(OWNER_ORDER) > request.request.not_after_ms:
+            return self.decide(request, self.quota.decide_by_equal_share(request, now), order)
+        if request.owner == COUNTER:  # needs no timer: a call always ends by itself
+            return [self.quota.call_counter(customer, units, request, now)]
+        self.quota.enqueue_question(request)
+        return [self.schedule_check(request, -request.ask_count, ASK_TIMEOUT_MS)]
+
+    def schedule_check(
+        self, request: PendingRequest, attempt: int, after_ms: float, extra_ms: float = 0.0
+    ) -> interface.SetTimer:
+        """A timer that has ``run_check`` look at a request."""
         self.serial += 1
-        self.checks[self.serial] = (t.request.id, n, more_ms)
-        return i.SetTimer(self.serial, after_ms)
+        self.checks[self.serial] = (request.request.id, attempt, extra_ms)
+        return interface.SetTimer(self.serial, after_ms)
 
-    def decide(self, t: PendingRequest, inside: bool | None, order: list[int] | None = None) -> list[i.Action]:
-        if inside is None:  # the counter is late or full
-            return self.ask_owner(t)
-        r, c = t.request, t.customer
-        if t.answered or t.attempts:  # gone, or decided before this word came: what it let in goes back
-            if inside:
-                self.quota.settle(t, -r.units, True)
+    def decide(
+        self, pending: PendingRequest, admitted: bool | None, order: list[int] | None = None
+    ) -> list[interface.Action]:
+        """Send or refuse a request, given whether its quota admits it; None if the counter was late or full."""
+        if admitted is None:
+            return self.ask_owner(pending)
+        request = pending.request
+        customer = pending.customer
+        if pending.answered or pending.attempts:  # gone, or decided already: what a late answer charged is returned
+            if admitted:
+                self.quota.settle(pending, -request.units, True)
             return []
-        server = (
-            self.server_pool.choose(self.now, lambda e: True, set()) if inside or self.admits_over_quota(c) else None
-        )
-        # Only now is room drawn: what waits for a word is in no server's work, and took most of B.
+        is_chosen = admitted or self.admits_over_quota(customer)
+        server = self.server_pool.choose(self.now, lambda entry: True, set()) if is_chosen else None
+        # Capacity is reserved only now: requests that wait for an answer are no server's work, and took most of B.
         if server is not None and order is None:
-            order = self.capacity.find_partitions(r.class_name, r.units, t.reserved_share, self.now)
+            order = self.capacity.find_partitions(request.class_name, request.units, pending.reserved_share, self.now)
         if (
             server is not None
             and order is not None
-            and ((inside and self.quota.owner_charged_ceiling(t)) or t.charge_own_ceiling())
+            and ((admitted and self.quota.owner_charged_ceiling(pending)) or pending.charge_own_ceiling())
         ):
-            t.within_quota, t.reservation = inside, self.capacity.partitions.reserve(order, r.units)
-            return self.send_attempt(t, server)
-        if inside:
-            self.quota.settle(t, -r.units, True)
-        c.ceiling_tokens += r.units * t.own_ceiling_pays
-        self.finish(t)
+            pending.within_quota = admitted
+            pending.reservation = self.capacity.partitions.reserve(order, request.units)
+            return self.send_attempt(pending, server)
+        if admitted:
+            self.quota.settle(pending, -request.units, True)
+        customer.ceiling_tokens += request.units * pending.own_ceiling_pays
+        self.finish(pending)
         if server is not None and order is None:
-            return [self.refusal(r, "room", self.capacity.estimate_wait_ms(r.class_name, r.units))]
-        why = (
-            "ceiling"
-            if server or not t.own_ceiling_pays
-            else "no_node"
-            if inside or self.admits_over_quota(c)
-            else "quota"
-        )
-        return [self.refusal(r, why, self.quota.estimate_wait_ms(c, r.units, not t.own_ceiling_pays))]
+            return [self.refusal(request, "room", self.capacity.estimate_wait_ms(request.class_name, request.units))]
+        if server or not pending.own_ceiling_pays:
+            reason = "ceiling"
+        elif admitted or self.admits_over_quota(customer):
+            reason = "no_node"
+        else:
+            reason = "quota"
+        wait_ms = self.quota.estimate_wait_ms(customer, request.units, not pending.own_ceiling_pays)
+        return [self.refusal(request, reason, wait_ms)]
 
-    def admits_over_quota(self, c: Customer) -> bool:
-        free = (
+    def admits_over_quota(self, customer: Customer) -> bool:
+        """Whether requests beyond a customer's quota are admitted: there is capacity to spare and they earn more than
+        they cost."""
+        has_spare_capacity = (
             not self.capacity.under_pressure(self.now)
             and self.capacity.partitions.utilization() < OVER_QUOTA_MAX_UTILIZATION
         )
-        return free and c.plan.over_worth > c.plan.over_cost and not c.plan.max_in_flight
+        plan = customer.plan
+        return has_spare_capacity and plan.over_worth > plan.over_cost and not plan.max_in_flight
 
-    def refusal(self, r: i.Request, why: str, wait: float = 0.0) -> i.Refuse:
-        return i.Refuse(
-            r.id, min(wait, self.settings.limits.max_retry_after_ms) * self.settings.limits.retry_after, why
-        )
+    def refusal(self, request: interface.Request, reason: str, wait_ms: float = 0.0) -> interface.Refuse:
+        """A refusal with advice when to try again, as far as the limits allow it."""
+        limits = self.settings.limits
+        return interface.Refuse(request.id, min(wait_ms, limits.max_retry_after_ms) * limits.retry_after, reason)
 
-    def handle_request(self, r: i.Request) -> list[i.Action]:
-        now, cls, c = self.now, self.capacity.classes.get(r.class_name), self.quota.customer(r, self.now)
-        if cls is None or c is None:
-            return [self.refusal(r, "unknown")]
-        self.capacity.popularity[r.class_name].add(r.units, now)
-        self.capacity.mean_units += LENGTH_ALPHA * (r.units - self.capacity.mean_units)
-        shut = c.ceiling_tokens < r.units and not self.quota.owner_ceiling_share(c.plan)
-        if shut or (self.quota.is_hopeless(c, r.units, now) and not self.admits_over_quota(c)):
-            c.unasked_demand += r.units
-            return [self.refusal(r, "ceiling" if shut else "quota", self.quota.estimate_wait_ms(c, r.units))]
-        keep = self.capacity.reserved_share(r.class_name, c.plan.price)
-        if (order := self.capacity.find_partitions(r.class_name, r.units, keep, now)) is None:
-            return [self.refusal(r, "room", self.capacity.estimate_wait_ms(r.class_name, r.units))]
+    def handle_request(self, request: interface.Request) -> list[interface.Action]:
+        """Refuse a request that has no chance, and ask for the others."""
+        now = self.now
+        request_class = self.capacity.classes.get(request.class_name)
+        customer = self.quota.customer(request, self.now)
+        if request_class is None or customer is None:
+            return [self.refusal(request, "unknown")]
+        self.capacity.popularity[request.class_name].add(request.units, now)
+        self.capacity.mean_units += LENGTH_ALPHA * (request.units - self.capacity.mean_units)
+        over_ceiling = customer.ceiling_tokens < request.units and not self.quota.owner_ceiling_share(customer.plan)
+        if over_ceiling or (
+            self.quota.is_hopeless(customer, request.units, now) and not self.admits_over_quota(customer)
+        ):
+            customer.unasked_demand += request.units
+            reason = "ceiling" if over_ceiling else "quota"
+            return [self.refusal(request, reason, self.quota.estimate_wait_ms(customer, request.units))]
+        reserved_share = self.capacity.reserved_share(request.class_name, customer.plan.price)
+        order = self.capacity.find_partitions(request.class_name, request.units, reserved_share, now)
+        if order is None:
+            return [self.refusal(request, "room", self.capacity.estimate_wait_ms(request.class_name, request.units))]
         self.serial += 1
-        t = self.pending[r.id] = PendingRequest(r, cls, c, keep, now + cls.aim_ms, self.serial % 65536)
-        t.charge_own_ceiling()
-        return self.ask_owner(t, order)
-
-    def send_attempt(self, t: PendingRequest, b: st.ServerRecord) -> list[i.Action]:
-        n, usual = (
-            t.add_attempt(b, self.now),
-            self.capacity.lengths[t.request.class_name].value * self.capacity.median_ratio,
+        pending = PendingRequest(
+            request,
+            request_class,
+            customer,
+            reserved_share,
+            now + request_class.aim_ms,
+            self.serial % REQUEST_NUMBERS,
         )
-        limit = max(ATTEMPT_LIMIT_AIM_SHARE * t.request_class.aim_ms, ATTEMPT_LIMIT_MEDIANS * usual)
-        go: list[i.Action] = [i.Send(t.request.id, b.entry.address, t.request.not_after_ms)]
-        if self.now + limit < t.request.not_after_ms:
-            slow = b.health[-1].relative_latency.value / self.server_pool.warm_up(
-                b, self.now
-            )  # its own slowness is of lost ones too
-            go.append(self.schedule_check(t, n, limit, limit * max(1.0, slow)))
-        return go
+        self.pending[request.id] = pending
+        pending.charge_own_ceiling()
+        return self.ask_owner(pending, order)
 
-    def handle_outcome(self, e: i.Outcome) -> list[i.Action]:
-        t, now = self.pending.get(e.id), self.now
-        if t is None or e.attempt not in t.in_flight:
+    def send_attempt(self, pending: PendingRequest, server: ServerRecord) -> list[interface.Action]:
+        """Send an attempt, and set a timer for when it counts as lost."""
+        attempt = pending.add_attempt(server, self.now)
+        request = pending.request
+        median_ms = self.capacity.lengths[request.class_name].value * self.capacity.median_ratio
+        limit_ms = max(ATTEMPT_LIMIT_AIM_SHARE * pending.request_class.aim_ms, ATTEMPT_LIMIT_MEDIANS * median_ms)
+        actions: list[interface.Action] = [interface.Send(request.id, server.entry.address, request.not_after_ms)]
+        if self.now + limit_ms < request.not_after_ms:
+            # The latency of the server's kind: its own one includes lost attempts.
+            slowness = server.health[-1].relative_latency.value / self.server_pool.warm_up(server, self.now)
+            actions.append(self.schedule_check(pending, attempt, limit_ms, limit_ms * max(1.0, slowness)))
+        return actions
+
+    def handle_outcome(self, event: interface.Outcome) -> list[interface.Action]:
+        """Learn from the end of an attempt, and retry or answer its request if it needs that."""
+        pending = self.pending.get(event.id)
+        now = self.now
+        if pending is None or event.attempt not in pending.in_flight:
             return []
-        t.end_attempt(e.attempt)
-        if e.result is i.Result.OK and now < t.aim_at:
+        class_name = pending.request.class_name
+        units = pending.request.units
+        pending.end_attempt(event.attempt)
+        if event.result is interface.Result.OK and now < pending.aim_at:
             self.retry_tokens = min(self.max_retry_tokens, self.retry_tokens + RETRY_TOKENS_PER_SUCCESS)
-        if not self.server_pool.record_outcome(e, self.capacity.lengths[t.request.class_name].value, now):
-            self.capacity.observe_outcome(t.request.class_name, e, t.request.units, now)
-        if not e.result.never_ran and t.first_executed is None:
-            t.first_executed = t.attempts[e.attempt]
-        if e.cost and t.within_quota:
-            self.quota.settle(t, e.cost - t.request.units, False)
-        if e.settled or t.answered:
-            self.finish(t)
-        return [] if t.answered or t.in_flight else self.retry_or_finish(t)
+        if not self.server_pool.record_outcome(event, self.capacity.lengths[class_name].value, now):
+            self.capacity.observe_outcome(class_name, event, units, now)
+        if not event.result.never_ran and pending.first_executed is None:
+            pending.first_executed = pending.attempts[event.attempt]
+        if event.cost and pending.within_quota:
+            self.quota.settle(pending, event.cost - units, False)
+        if event.settled or pending.answered:
+            self.finish(pending)
+        return [] if pending.answered or pending.in_flight else self.retry_or_finish(pending)
 
-    def retry_or_finish(self, t: PendingRequest) -> list[i.Action]:
-        now, cls, keyed = self.now, t.request_class, t.request_class.effect is i.Effect.KEYED
-        # Keys are remembered from the client's first word at the earliest; a repeat may have to wait for its dial.
-        ends = t.aim_at - cls.aim_ms + cls.window_ms - self.settings.limits.dial_timeout_ms
-        may = t.first_executed is None or cls.effect is i.Effect.SAFE or (keyed and now < ends)
-        if may and self.is_retry_useful(t):
-            tried = {s.address for s, _ in t.attempts}
-            if (b := self.server_pool.choose(now, lambda e: self.may_retry_on(t, e), tried)) is not None:
+    def retry_or_finish(self, pending: PendingRequest) -> list[interface.Action]:
+        """Send another attempt of a request if that is allowed and useful, else refuse or fail it."""
+        now = self.now
+        request_class = pending.request_class
+        is_safe = request_class.effect is interface.Effect.SAFE
+        is_keyed = request_class.effect is interface.Effect.KEYED
+        # Servers remember a key from the client's request at the earliest, and a retry may have to wait for a new
+        # connection.
+        window_ends_at = (
+            pending.aim_at - request_class.aim_ms + request_class.window_ms - self.settings.limits.dial_timeout_ms
+        )
+        may_retry = pending.first_executed is None or is_safe or (is_keyed and now < window_ends_at)
+        if may_retry and self.is_retry_useful(pending):
+            tried = {entry.address for entry, _ in pending.attempts}
+            server = self.server_pool.choose(now, lambda entry: self.may_retry_on(pending, entry), tried)
+            if server is not None:
                 self.retry_tokens -= 1
-                return self.send_attempt(t, b)
-        self.finish(t)
-        harmless = t.first_executed is None or cls.effect is i.Effect.SAFE or (keyed and cls.group is i.Group.ALL)
-        wait = self.capacity.estimate_wait_ms(t.request.class_name, t.request.units)
-        return [
-            self.refusal(t.request, "attempts", wait)
-            if harmless and now < t.request.not_after_ms
-            else i.Fail(t.request.id)
-        ]
+                return self.send_attempt(pending, server)
+        self.finish(pending)
+        is_safe_to_retry = (
+            pending.first_executed is None or is_safe or (is_keyed and request_class.group is interface.Group.ALL)
+        )
+        request = pending.request
+        wait_ms = self.capacity.estimate_wait_ms(request.class_name, request.units)
+        if is_safe_to_retry and now < request.not_after_ms:
+            return [self.refusal(request, "attempts", wait_ms)]
+        return [interface.Fail(request.id)]
 
-    def may_retry_on(self, t: PendingRequest, e: i.Server) -> bool:
+    def may_retry_on(self, pending: PendingRequest, entry: interface.Server) -> bool:
+        """Whether a server would drop a repeat of what may have run, or no server needs to."""
+        request_class = pending.request_class
         if (
-            t.first_executed is None
-            or t.request_class.effect is not i.Effect.KEYED
-            or t.request_class.group is i.Group.ALL
+            pending.first_executed is None
+            or request_class.effect is not interface.Effect.KEYED
+            or request_class.group is interface.Group.ALL
         ):
             return True
-        return (
-            e.zone == t.first_executed[0].zone
-            if t.request_class.group is i.Group.ZONE
-            else e.cell == t.first_executed[0].cell
-        )
+        first_server = pending.first_executed[0]
+        if request_class.group is interface.Group.ZONE:
+            return entry.zone == first_server.zone
+        return entry.cell == first_server.cell
 
-    def finish(self, t: PendingRequest) -> None:
-        t.answered = True
-        if not t.in_flight and self.pending.pop(t.request.id, None) is not None:
-            self.capacity.partitions.release(t.reservation)
-            if t.within_quota:
-                self.quota.settle(t, 0.0, True)
+    def finish(self, pending: PendingRequest) -> None:
+        """Mark a request as answered; once no attempt is in flight, release what it holds."""
+        pending.answered = True
+        if not pending.in_flight and self.pending.pop(pending.request.id, None) is not None:
+            self.capacity.partitions.release(pending.reservation)
+            if pending.within_quota:
+                self.quota.settle(pending, 0.0, True)
