--- a/rushweir/config/load.py
+++ b/rushweir/config/load.py
@@ -165,17 +165,17 @@
             handshake_ms=f.clients.handshake,
             ping_ms=f.clients.ping,
             unread_ms=f.clients.unread,
-            unread=f.clients.buffer,
+            max_unread_bytes=f.clients.buffer,
             peer_key=self.peer_key,
             list_url=f.list.url,
             counter_url=f.counter.url if f.counter else "",
             seed=seed,
             boot=boot,
-            most_clients=f.clients.connections,
-            sample=f.trace.sample,
+            max_clients=f.clients.connections,
+            trace_share=f.trace.sample,
             late_ms=f.overload.delay,
-            most_late_ms=f.overload.most,
-            courses=f.trace.keep,
+            max_late_ms=f.overload.most,
+            max_traces=f.trace.keep,
             client_networks=AddressSet(f.clients.allow, f.clients.deny),
             node_networks=AddressSet(f.nodes.allow, f.nodes.deny),
         )  # fmt: skip
@@ -206,7 +206,7 @@
     peer_key = None
     if file is not None:
         if reading.fresh:
-            groups["partners"].held.everywhere = file.ingress[1]
+            groups["partners"].held.ingress_count = file.ingress[1]
         file = file.model_copy(update={**(others or {}), **groups})
         problems += checks.across(file, reading.spots, reading.deltas) + reading.late
         peer_key = checks.key(file.peers, reading.base, reading.spots, problems) if file.peers else None
--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -23,10 +23,20 @@
 from rushweir.ingress.shell import calm_collector
 from rushweir.link import rpc
 from rushweir.link.upstream import Upstream
+from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.commands import (
+    Append,
+    Committed,
+    Compact,
+    LogEvent,
+    Objects,
+    ProposalAnswered,
+    Rewrite,
+    Send,
+    SnapshotInstalled,
+)
 from rushweir.rollout.control import Control
-from rushweir.rollout.control_mail import MOST_TEXT, NONCE, OPEN, READY, Mail, MailError
-from rushweir.rollout.orders import Answered, Append, Committed, Fold, Jumped, Note, Objects, Rewrite, Send
-from rushweir.rollout.steps import Change, Step
+from rushweir.rollout.control_channel import MAX_MESSAGE_BYTES, NONCE_BYTES, OPEN, READY, ChannelError, SealedChannel
 
 PAUSE_MS, CONNECT_MS, PING_MS = (100.0, 1_000.0), 1_000.0, 1_000.0
 MOST_FORWARDED = 64  # proposals that another process was asked to make
@@ -55,7 +65,7 @@
 
     def jumped(self, now: float, number: int, objects: Objects) -> None: ...
 
-    def committed(self, now: float, step: Step) -> None: ...
+    def committed(self, now: float, step: ChangeSet) -> None: ...
 
     def set_current(self, now: float, current: bool) -> None: ...
 
@@ -80,31 +90,31 @@
     def __init__(self, process: ControlProcess, send: Callable[[bytes], None], close: Callable[[str], None]) -> None:
         self.process, self.send_text, self.close = process, send, close
         config = process.config
-        self.mail = Mail(config.me, config.count, config.key, secrets.token_bytes(NONCE))
-        self.send_text(self.mail.hello())
+        self.channel = SealedChannel(config.me, config.count, config.key, secrets.token_bytes(NONCE_BYTES))
+        self.send_text(self.channel.hello())
 
     def send(self, body: list[Any]) -> None:
-        self.send_text(self.mail.write(body))
+        self.send_text(self.channel.write(body))
 
     def text(self, text: bytes | str) -> None:
-        self._take(self.mail.read, text)
+        self._take(self.channel.read, text)
 
     def call(self, call: rpc.Call | rpc.Reply) -> None:
-        self._take(self.mail.take, call)
+        self._take(self.channel.take, call)
 
     def _take(self, read: Callable[[Any], list[Any] | None], given: Any) -> None:
-        before = self.mail.state
+        before = self.channel.state
         try:
             body = read(given)
-        except MailError as problem:
-            self.process.log("warning", "control_link_refused", peer=self.mail.peer, why=str(problem))
+        except ChannelError as problem:
+            self.process.log("warning", "control_link_refused", peer=self.channel.peer, why=str(problem))
             self.close(str(problem))
             return
         if body is not None:
             self.process.received(self, body)
-        elif self.mail.state is READY:
+        elif self.channel.state is READY:
             self.send([])
-        elif self.mail.state is OPEN and before is READY:
+        elif self.channel.state is OPEN and before is READY:
             self.process.line_up(self)
 
     def writable(self, on: bool) -> None:
@@ -124,7 +134,7 @@
         self.link = Upstream(
             self, url, {}, seed=secrets.randbits(32), new_conn=dials.new_conn,
             at=lambda when, what, argument: dials.at(when, what, argument, self.link), pause_ms=PAUSE_MS,
-            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MOST_TEXT,
+            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
         )  # fmt: skip
         self.link.start(process.clock())
         dials.carry(self.link)
@@ -188,8 +198,10 @@
         self.lines: dict[int, Line] = {}
         self.watchers: dict[int, Served] = {}
         self.watchers_serial = self.tickets = 0
-        self.answers: dict[int, asyncio.Future[Answered]] = {}
-        self.forwarded: dict[int, tuple[int, asyncio.Future[Answered]]] = {}  # by ticket: whom it was given to
+        self.answers: dict[int, asyncio.Future[ProposalAnswered]] = {}
+        self.forwarded: dict[
+            int, tuple[int, asyncio.Future[ProposalAnswered]]
+        ] = {}  # by ticket: whom it was given to
         self.timer: asyncio.TimerHandle | None = None
         self.ending = asyncio.Event()
         self.carrying = False
@@ -213,7 +225,7 @@
             paths["/watch"] = lambda wire: Watcher(self, wire)
         host, port = self.config.addresses[self.config.me]
         server = await loop.create_server(
-            lambda: Served(paths, self.wires, MOST_TEXT), host, port, backlog=BACKLOG, reuse_address=True
+            lambda: Served(paths, self.wires, MAX_MESSAGE_BYTES), host, port, backlog=BACKLOG, reuse_address=True
         )
         try:
             async with operators(self):
@@ -236,16 +248,16 @@
 
     def line_up(self, line: Line) -> None:
         """The newest connection of a peer holds: its old one, if there is one, is one that only this side has."""
-        peer = line.mail.peer
+        peer = line.channel.peer
         old, self.lines[peer] = self.lines.get(peer), line
         if old is not None:
             old.close("replaced")
         self.log("info", "control_linked", peer=peer)
-        self.core.linked(self.clock(), peer)
+        self.core.peer_connected(self.clock(), peer)
         self.carry_out()
 
     def line_down(self, line: Line) -> None:
-        peer = line.mail.peer
+        peer = line.channel.peer
         if self.lines.get(peer) is not line:
             return
         del self.lines[peer]
@@ -253,10 +265,10 @@
         for ticket, (to, future) in list(self.forwarded.items()):
             if to == peer and not future.done():
                 why = f"the connection to control process {peer}, which leads, was lost: the change may be in force"
-                future.set_result(Answered(ticket, None, why, -1, unsure=True))
+                future.set_result(ProposalAnswered(ticket, None, why, -1, unsure=True))
 
     def received(self, line: Line, body: list[Any]) -> None:
-        peer = line.mail.peer
+        peer = line.channel.peer
         if self.lines.get(peer) is not line or not body:
             return
         match body:
@@ -266,16 +278,16 @@
                 task.add_done_callback(self.tasks.discard)
             case ["proposed", int(ticket), number, str(why), int(leader), bool(unsure)]:
                 if ticket in self.forwarded and not self.forwarded[ticket][1].done():
-                    self.forwarded[ticket][1].set_result(Answered(ticket, number, why, leader, unsure))
+                    self.forwarded[ticket][1].set_result(ProposalAnswered(ticket, number, why, leader, unsure))
             case ["report", told]:
                 self.tell_sessions("take_report", told)
             case _:
-                self.core.message(self.clock(), peer, body)
+                self.core.receive(self.clock(), peer, body)
                 self.carry_out()
 
     # --- proposals -------------------------------------------------------------------------------
 
-    async def propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> Answered:
+    async def propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> ProposalAnswered:
         """Here, or by the one that leads."""
         leader = self.core.leader
         if leader in self.lines and leader != self.config.me and len(self.forwarded) < MOST_FORWARDED:
@@ -287,12 +299,12 @@
                 return await asyncio.wait_for(future, FORWARD_S)
             except TimeoutError:
                 why = f"control process {leader}, which leads, does not answer: the change may come into force yet"
-                return Answered(ticket, None, why, -1, unsure=True)
+                return ProposalAnswered(ticket, None, why, -1, unsure=True)
             finally:
                 del self.forwarded[ticket]
         return await self._propose(changes, author, base)
 
-    async def _propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> Answered:
+    async def _propose(self, changes: tuple[Change, ...], author: str, base: int | None) -> ProposalAnswered:
         self.tickets += 1
         ticket = self.tickets
         future = self.answers[ticket] = asyncio.get_running_loop().create_future()
@@ -308,7 +320,7 @@
             return
         a = await self._propose(changes, author, base)
         if peer in self.lines:
-            self.lines[peer].send(["proposed", ticket, a.number, a.why, a.leader, a.unsure])
+            self.lines[peer].send(["proposed", ticket, a.version, a.reason, a.leader, a.unsure])
 
     # --- orders ----------------------------------------------------------------------------------
 
@@ -317,8 +329,8 @@
             return
         self.carrying = True
         try:
-            while self.core.orders:
-                self._carry(self.core.orders.popleft())
+            while self.core.commands:
+                self._carry(self.core.commands.popleft())
         finally:
             self.carrying = False
         if self.sessions is not None:
@@ -332,26 +344,26 @@
             case Send():
                 if (line := self.lines.get(order.peer)) is not None:
                     line.send(order.body)
-            case Append() | Rewrite() | Fold():
+            case Append() | Rewrite() | Compact():
                 self.disk.add(order)
-            case Answered():
-                if (future := self.answers.pop(order.ticket, None)) is not None and not future.done():
+            case ProposalAnswered():
+                if (future := self.answers.pop(order.request_id, None)) is not None and not future.done():
                     future.set_result(order)
-            case Note():
+            case LogEvent():
                 self.log(order.level, order.cause, **order.fields)
             case Committed():
-                self.log("info", "step_in_force", number=order.step.number, author=order.step.author)
+                self.log("info", "step_in_force", number=order.change_set.version, author=order.change_set.author)
                 if self.sessions is not None:
-                    self.sessions.committed(self.clock(), order.step)
-            case Jumped() if self.sessions is not None:
-                self.sessions.jumped(self.clock(), order.number, order.objects)
+                    self.sessions.committed(self.clock(), order.change_set)
+            case SnapshotInstalled() if self.sessions is not None:
+                self.sessions.jumped(self.clock(), order.version, order.objects)
 
     def kept(self, serial: int) -> None:
-        self.core.kept(self.clock(), serial)
+        self.core.persisted(self.clock(), serial)
         self.carry_out()
 
     def folded(self, serial: int) -> None:
-        self.core.folded(self.clock(), serial)
+        self.core.compacted(self.clock(), serial)
         self.carry_out()
 
     def disk_failed(self, problem: OSError) -> None:
--- a/rushweir/daemon/reloading.py
+++ b/rushweir/daemon/reloading.py
@@ -13,7 +13,7 @@
 from rushweir.daemon.decisions import needs_restart
 from rushweir.daemon.notify import notify, reloading
 from rushweir.rollout.ceilings import OVER_TERMS
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 
 class Reloads(Protocol):
@@ -51,7 +51,7 @@
                 return prepared.changes
             except ConfigError as problem:
                 first = str(problem).splitlines()[0]
-                s.core.tell(s.clock(), "error", "reload_refused", problems=len(problem.problems), first=first)
+                s.core.log(s.clock(), "error", "reload_refused", problems=len(problem.problems), first=first)
                 raise
             finally:
                 s.shell.carry_out()
--- a/rushweir/daemon/traces.py
+++ b/rushweir/daemon/traces.py
@@ -1,8 +1,8 @@
 """Courses as traces on OpenTelemetry's API: a span for the request, one for each attempt, with their own times.
 
-Which courses are kept was decided before (watch/courses.py), at the end of the request, so that a failure is never
-missing; spans are made of those only. Without an SDK in the process the API's spans are no-ops, and cost nothing
-on the way of a request in any case.
+Which courses are kept was decided before (watch/request_traces.py), at the end of the request, so that a failure is
+never missing; spans are made of those only. Without an SDK in the process the API's spans are no-ops, and cost
+nothing on the way of a request in any case.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from opentelemetry import trace
 from opentelemetry.trace import SpanKind, StatusCode
 
-from rushweir.ingress.commands import Kind
-from rushweir.watch.courses import Course
-from rushweir.watch.watch import GOOD
+from rushweir.ingress.commands import AnswerKind
+from rushweir.watch.request_traces import RequestTrace
+from rushweir.watch.telemetry import GOOD
 
 
 class Tracing:
@@ -21,15 +21,16 @@
     def __init__(self, tracer: trace.Tracer | None = None) -> None:
         self.tracer = tracer or trace.get_tracer("rushweir")
 
-    def course(self, course: Course) -> None:
+    def course(self, course: RequestTrace) -> None:
         span = self.tracer.start_span(
             "request", kind=SpanKind.SERVER, start_time=_ns(course.taken_ms),
             attributes={
-                "rushweir.request": course.rid, "rushweir.class": course.cls, "rushweir.partner": course.partner,
+                "rushweir.request": course.request_id, "rushweir.class": course.cls,
+                "rushweir.partner": course.partner,
                 "rushweir.connection": course.conn, "rushweir.answer": course.kind, "rushweir.why": course.why,
             },
         )  # fmt: skip
-        if course.kind == Kind.FAILED:
+        if course.kind == AnswerKind.FAILED:
             span.set_status(StatusCode.ERROR, course.why)
         inside = trace.set_span_in_context(span)
         for a in course.attempts:
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -61,11 +61,11 @@
         peers: dict[int, tuple[str, int]] | None = None,
         folder: Path | None = None,
         end: Callable[[str], None] | None = None,
-        remark: Callable[[c.Remark], None] | None = None,
+        log: Callable[[c.LogEvent], None] | None = None,
         high_water: int = HIGH_WATER,
         accept_at_once: int = BACKLOG,
     ) -> None:
-        """``folder`` keeps what outlives this process; ``end`` is told why it may not go on. ``remark`` gets the
+        """``folder`` keeps what outlives this process; ``end`` is told why it may not go on. ``log`` gets the
         lines for the log; a connection with more than ``high_water`` bytes unsent is
         reported as congested. ``accept_at_once``: connections taken in one turn of the loop, so that a crowd
         does not pass the bound on descriptors before the core has seen any of it."""
@@ -85,19 +85,19 @@
         self.saving: bytes | None = None
         self.saver: asyncio.Task | None = None
         self.carrying = self.dead = False
-        core.engine.present = self.present
+        core.engine.is_connected = self.present
         self.carry = {
             c.Write: self._write,
             c.Dial: self._dial,
-            c.CloseConn: self._close,
-            c.AbortConn: self._abort,
-            c.Datagram: self._datagram,
+            c.CloseConnection: self._close,
+            c.AbortConnection: self._abort,
+            c.SendPeerDatagram: self._datagram,
             c.SaveList: self._save,
-            c.SendTo: self._send_to,
+            c.SendDatagram: self._send_to,
             c.SaveFile: self._save_file,
-            c.Peers: self._peers,
+            c.SetPeerAddresses: self._peers,
             c.EndProcess: lambda order: end(order.why) if end is not None else None,
-            c.Remark: remark or (lambda _: None),
+            c.LogEvent: log or (lambda _: None),
         }
 
     # --- start and end ---------------------------------------------------------------------------
@@ -136,7 +136,7 @@
             found["peers"] = self.udp.get_extra_info("socket").fileno()
         return found
 
-    async def leave(self, settings: i.Settings, within_ms: float) -> bool:
+    async def drain_and_stop(self, settings: i.Settings, within_ms: float) -> bool:
         """A successor listens on the same sockets by now: take no more connections, serve each that is open until
         its first idle moment, then end as ``stop`` does. The listening socket is only closed here, so that what
         waits in its queue is the successor's."""
@@ -146,7 +146,7 @@
             sender = Sender(self.udp.get_extra_info("socket"))
             self.udp.close()
             self.udp = sender
-        self.core.leave(self.clock(), settings)
+        self.core.drain_clients(self.clock(), settings)
         self.carry_out()
         end = self.loop.time() + within_ms / 1000
         while self.core.clients.open and self.loop.time() < end:
@@ -215,12 +215,12 @@
     def carry_out(self) -> None:
         """Carry out all orders there are, and set the timer."""
         if self.dead:
-            self.core.orders.clear()
+            self.core.commands.clear()
             return
         if self.carrying:
             return  # an order caused a call of the core; its orders are taken by the loop below
         self.carrying = True
-        orders, carry = self.core.orders, self.carry
+        orders, carry = self.core.commands, self.carry
         try:
             while orders:
                 order = orders.popleft()
@@ -279,7 +279,7 @@
             self.core.dial_failed(self.clock(), conn)
             self.carry_out()
 
-    def _close(self, order: c.CloseConn) -> None:
+    def _close(self, order: c.CloseConnection) -> None:
         """End a connection so that its last bytes arrive: closing a socket with unread input resets it, and
         the peer would lose the close frame. So the writing side ends, what still comes is thrown away, and
         after a while it is over in any case."""
@@ -299,7 +299,7 @@
         else:
             transport.abort()
 
-    def _abort(self, order: c.AbortConn) -> None:
+    def _abort(self, order: c.AbortConnection) -> None:
         if (dial := self.dials.get(order.conn)) is not None:
             dial.cancel()
         transport = self.transports.pop(order.conn, None)
@@ -310,16 +310,16 @@
                 transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             transport.abort()
 
-    def _datagram(self, order: c.Datagram) -> None:
+    def _datagram(self, order: c.SendPeerDatagram) -> None:
         address = self.peers.get(order.peer)
         if self.udp is not None and address is not None and not self.udp.is_closing():
             self.udp.sendto(order.data, address)
 
-    def _send_to(self, order: c.SendTo) -> None:
+    def _send_to(self, order: c.SendDatagram) -> None:
         if self.udp is not None and not self.udp.is_closing():
             self.udp.sendto(order.data, order.address)
 
-    def _peers(self, order: c.Peers) -> None:
+    def _peers(self, order: c.SetPeerAddresses) -> None:
         self.peers = order.addresses
 
     def _save_file(self, order: c.SaveFile) -> None:
@@ -332,7 +332,7 @@
         try:
             await asyncio.to_thread(replace_file, path, order.data)
         except OSError as problem:
-            self.core.tell(self.clock(), "error", "file_not_kept", file=order.name, why=str(problem))
+            self.core.log(self.clock(), "error", "file_not_kept", file=order.name, why=str(problem))
         else:
             self.core.file_saved(self.clock(), order.serial)
         self.carry_out()
@@ -351,6 +351,6 @@
                 await asyncio.to_thread(replace_file, self.list_file, data)
             except OSError as problem:
                 # All goes on but this: the next list is written again, and says so again.
-                self.core.tell(self.clock(), "error", "list_not_kept", why=str(problem))
+                self.core.log(self.clock(), "error", "list_not_kept", why=str(problem))
                 self.carry_out()
         self.saver = None
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -30,7 +30,7 @@
 class Front:
     """A connection's front that takes requests as they are, and answers nobody."""
 
-    state, partner, partial, backlog, leaving, engaged = OPEN, None, 0, 0, "", False
+    state, partner, partial_message, backlog, refusal_reason, is_busy = OPEN, None, 0, 0, "", False
 
     def __init__(self) -> None:
         self.open_ids: set[Any] = set()
@@ -45,7 +45,7 @@
     def take(self) -> tuple[list[bytes], bool]:
         return [], False
 
-    def spare(self, quiet_ms: float) -> bool:
+    def is_idle(self, quiet_ms: float) -> bool:
         return False
 
     def receive_eof(self) -> None: ...
@@ -77,11 +77,11 @@
     def _done(self, attempt: c.Attempt) -> None:
         if self.open.pop(id(attempt), None) is not None:
             lost = self.rng.random() < LOST
-            self.ended.append(c.Ended(attempt, i.Result.RESET if lost else i.Result.OK, None if lost else {}))
+            self.ended.append(c.AttemptEnded(attempt, i.Result.RESET if lost else i.Result.OK, None if lost else {}))
 
     def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
         if self.open.pop(id(attempt), None) is not None:
-            self.ended.append(c.Ended(attempt, result))
+            self.ended.append(c.AttemptEnded(attempt, result))
 
     def _held_back(self, attempt: c.Attempt) -> bool:
         return False
@@ -101,8 +101,8 @@
 class HollowSetup(websocket.Setup):
     """The ingress of ``rushweir serve`` without clients and nodes."""
 
-    def parts(self, core: base.Core) -> base.Parts:
-        made = websocket.Setup.parts(self, core)
+    def components(self, core: base.Core) -> base.Components:
+        made = websocket.Setup.components(self, core)
         made.front = Front
-        made.pool = Answers(self.seed, core.new_conn, core.engine.at)
+        made.pool = Answers(self.seed, core.new_conn, core.engine.call_at)
         return made
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -22,8 +22,8 @@
     hash_password,
     read_users,
 )
-from rushweir.ingress.commands import Kind
-from rushweir.watch.watch import Watch
+from rushweir.ingress.commands import AnswerKind
+from rushweir.watch.telemetry import Telemetry
 
 EVIL = '<script>alert("x")</script>\x1b[2J\u202e\'"&'
 
@@ -141,11 +141,11 @@
 
 
 def slots() -> list[dict[str, Any]]:
-    watch = Watch(0.0)
+    watch = Telemetry(0.0)
     for k in range(40):
         if k % 7:
-            watch.history.answered(k * 10_000.0, Kind.SERVED, "", 20.0 + k)
-            watch.history.answered(k * 10_000.0, Kind.REFUSED, EVIL, 0.0)
+            watch.history.answered(k * 10_000.0, AnswerKind.SERVED, "", 20.0 + k)
+            watch.history.answered(k * 10_000.0, AnswerKind.REFUSED, EVIL, 0.0)
     watch.history.turn(400_000.0)
     return list(watch.history.slots)
 
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -18,7 +18,7 @@
 from rushweir.ingress.core import Core
 from rushweir.rollout import ceilings
 from rushweir.rollout.ceilings import CLOSED, MOST_PLANS, Acting, Between, SlotError, Slots, among, arranged, share
-from rushweir.rollout.steps import Change
+from rushweir.rollout.change_sets import Change
 
 COUNT, STEP_MS, MAIL_MS = 4, 20.0, 7.0
 BASE = "ingress {me} {count}\nzone a\nlisten 127.0.0.1:0\nlist {{\n    url ws://127.0.0.1:7000/l\n}}\n"
@@ -66,13 +66,17 @@
         self.take(*live.settled(self.config, version), now)
 
     def ask(self, name: str, now: float) -> None:
-        p = self.core.setup.credentials.named(name)
+        p = self.core.setup.credentials.partner_named(name)
         if p is not None:
             self.world.serial += 1
             rid = f"{self.me}-{self.world.serial}"
             self.world.whose[rid] = name
             self.policy.capacity.finished.add(1e4, now)
-            self.act(self.policy.handle(now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.spread, p.first)))
+            self.act(
+                self.policy.handle(
+                    now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.gateway_count, p.first_gateway)
+                )
+            )
 
     def act(self, actions: list[i.Action]) -> None:
         w = self.world
@@ -256,11 +260,11 @@
     # The old door 0 goes on with its part and the keeper's; 1 has what it owns of both, 2 nothing yet.
     assert over(w.spent["a"], 40, 20) <= 1
     assert w.gateways[2].config.ways["a"].plan == CLOSED and w.gateways[1].config.ways["a"].plan.startswith(CLOSED)
-    assert w.gateways[1].core.setup.credentials.named("a").spread == 1
+    assert w.gateways[1].core.setup.credentials.partner_named("a").gateway_count == 1
     w.gateways[0].step([partner("a", "tin", 1, 2)], 1, w.now)
     for g in w.gateways:
         g.settled(1, w.now)
-        assert g.core.setup.credentials.named("a").plan == "tin"
+        assert g.core.setup.credentials.partner_named("a").plan == "tin"
 
 
 # --- the decisions alone --------------------------------------------------------------------------------
