--- a/rushweir/__init__.py
+++ b/rushweir/__init__.py
@@ -9,7 +9,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Loaded when it is asked for (PEP 562): a process that serves has its signal handlers before its decisions.
+    # Imported on first use (PEP 562), so that a process installs its signal handlers before it loads the policy.
     if name == "Policy":
         from rushweir.policy import Policy
 
--- a/rushweir/files.py
+++ b/rushweir/files.py
@@ -1,4 +1,4 @@
-"""Files that outlive a crash."""
+"""Writing files that survive a crash."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def replace_file(path: Path, data: bytes, mode: int = 0o644) -> None:
-    """Write a file so that a crash at any point leaves the old or the new one, whole."""
+    """Replace a file atomically and durably: a crash at any point leaves the complete old or new content."""
     new = path.with_name(path.name + ".new")
     with open(new, "wb", opener=lambda p, flags: os.open(p, flags, mode)) as file:
         file.write(data)
--- a/rushweir/wirehost.py
+++ b/rushweir/wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: many independent policies behind one JSON-lines wire on standard input and output."""
+"""The simulator's adapter: many independent policies behind JSON lines on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,129 +8,163 @@
 
 import orjson
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.options import Fields, parse_settings
 from rushweir.policy import Policy
 
 RESULTS = {
-    "GOOD": i.Result.OK,
-    "BAD": i.Result.ERROR,
-    "FULL": i.Result.FULL,
-    "LATE": i.Result.TIMEOUT,
-    "NOCONN": i.Result.CONNECT_FAILED,
-    "RST": i.Result.RESET,
-    "CXL": i.Result.CANCELLED,
-    "NOP": i.Result.SUPERSEDED,
+    "GOOD": interface.Result.OK,
+    "BAD": interface.Result.ERROR,
+    "FULL": interface.Result.FULL,
+    "LATE": interface.Result.TIMEOUT,
+    "NOCONN": interface.Result.CONNECT_FAILED,
+    "RST": interface.Result.RESET,
+    "CXL": interface.Result.CANCELLED,
+    "NOP": interface.Result.SUPERSEDED,
 }
-SCOPES = {s.value: s for s in i.Scope}
-STATES = {"SERVING": i.State.READY, "DRAINING": i.State.DRAINING, "DELETED": i.State.GONE}
+SCOPES = {s.value: s for s in interface.Scope}
+STATES = {"SERVING": interface.State.READY, "DRAINING": interface.State.DRAINING, "DELETED": interface.State.GONE}
 
 
 class WireError(ValueError):
-    """A line that is not of this wire; the text names the line and the field."""
-
-
-def _server(e: Fields) -> i.Server:
-    return i.Server(
-        address=e["backend"],
-        zone=e.get("failureDomain", ""),
-        cell=e.get("pod", 0),
-        online_since_ms=e.get("onlineSinceMs", 0.0),
-        weight=e.get("weight", 1.0),
-        kind=e.get("shape", ""),
-        state=STATES[e["health"]],
+    """A line that is not valid on this wire; the text names the field."""
+
+
+def _server(entry: Fields) -> interface.Server:
+    return interface.Server(
+        address=entry["backend"],
+        zone=entry.get("failureDomain", ""),
+        cell=entry.get("pod", 0),
+        online_since_ms=entry.get("onlineSinceMs", 0.0),
+        weight=entry.get("weight", 1.0),
+        kind=entry.get("shape", ""),
+        state=STATES[entry["health"]],
     )
 
 
-def _request(m: Fields) -> i.Request:
-    return i.Request(
-        m["tid"], m["class"], m.get("plan", ""), m.get("clientId", ""), m["notAfterMs"],
-        m.get("quotaUnits", 0), m.get("doors", 1), m.get("first", 0),
-    )  # fmt: skip
+def _request(message: Fields) -> interface.Request:
+    return interface.Request(
+        message["tid"],
+        message["class"],
+        message.get("plan", ""),
+        message.get("clientId", ""),
+        message["notAfterMs"],
+        message.get("quotaUnits", 0),
+        message.get("doors", 1),
+        message.get("first", 0),
+    )
 
 
-def _outcome(m: Fields) -> i.Outcome:
-    return i.Outcome(
-        m["tid"], m.get("attempt", 0), m["backend"], RESULTS[m["stateCode"]], m.get("spentMs", 0.0),
-        m.get("settled", False), m.get("quotaUse", 0), m.get("billed", 0), m.get("load"),
-    )  # fmt: skip
+def _outcome(message: Fields) -> interface.Outcome:
+    return interface.Outcome(
+        message["tid"],
+        message.get("attempt", 0),
+        message["backend"],
+        RESULTS[message["stateCode"]],
+        message.get("spentMs", 0.0),
+        message.get("settled", False),
+        message.get("quotaUse", 0),
+        message.get("billed", 0),
+        message.get("load"),
+    )
 
 
-EVENTS: dict[str, Callable[[Fields], i.Event]] = {
+EVENTS: dict[str, Callable[[Fields], interface.Event]] = {
     "REQ": _request,
     "RESOLVED": _outcome,
-    "TIMER": lambda m: i.Timer(m.get("ref", 0)),
-    "FIRST_BYTE": lambda m: i.FirstByte(m["tid"], m.get("attempt", 0), m["backend"], m.get("spentMs", 0.0)),
-    "CLIENT_GONE": lambda m: i.Gone(m["tid"]),
-    "FROM_PEER": lambda m: i.PeerMessage(m.get("src", 0), m.get("contents", "")),
-    "SUM": lambda m: i.Counted(
-        m.get("counter", 0), RESULTS[m["stateCode"]], m.get("value", 0), m.get("spentMs", 0.0)
+    "TIMER": lambda message: interface.Timer(message.get("ref", 0)),
+    "FIRST_BYTE": lambda message: interface.FirstByte(
+        message["tid"], message.get("attempt", 0), message["backend"], message.get("spentMs", 0.0)
+    ),
+    "CLIENT_GONE": lambda message: interface.Gone(message["tid"]),
+    "FROM_PEER": lambda message: interface.PeerMessage(message.get("src", 0), message.get("contents", "")),
+    "SUM": lambda message: interface.Counted(
+        message.get("counter", 0), RESULTS[message["stateCode"]], message.get("value", 0), message.get("spentMs", 0.0)
+    ),
+    "HEALTH": lambda message: interface.Probed(
+        message["backend"], RESULTS[message["stateCode"]], message.get("spentMs", 0.0), message.get("load")
     ),
-    "HEALTH": lambda m: i.Probed(m["backend"], RESULTS[m["stateCode"]], m.get("spentMs", 0.0), m.get("load")),
 }
 
 ACTIONS: dict[type, Callable[[Any], Fields]] = {
-    i.Send: lambda a: {"op": "TRY", "tid": a.id, "backend": a.server, "tryUntilMs": a.until_ms},
-    i.Refuse: lambda a: {"op": "DECLINE", "tid": a.id, "stayAwayMs": a.retry_after_ms},
-    i.Fail: lambda a: {"op": "LOSE", "tid": a.id},
-    i.Cancel: lambda a: {"op": "REVOKE", "tid": a.id, "attempt": a.attempt},
-    i.SetTimer: lambda a: {"op": "AFTER", "ref": a.ref, "offsetMs": a.after_ms},
-    i.Tell: lambda a: {"op": "MEMO_TO", "dest": "*" if a.to is None else a.to, "contents": a.text},
-    i.Count: lambda a: {
-        "op": "ADD_AND_GET", "counter": a.name, "n": a.amount, "forgetAfterMs": a.forget_after_ms,
+    interface.Send: lambda action: {
+        "op": "TRY",
+        "tid": action.id,
+        "backend": action.server,
+        "tryUntilMs": action.until_ms,
     },
-    i.Probe: lambda a: {"op": "TOUCH", "backend": a.server},
-    i.Watch: lambda a: {"op": "TAIL", "enable": a.on},
-    i.Fetch: lambda a: {"op": "LIST_ALL"},
-    i.Log: lambda a: {"op": "REMARK", "message": a.text},
-}  # fmt: skip
+    interface.Refuse: lambda action: {"op": "DECLINE", "tid": action.id, "stayAwayMs": action.retry_after_ms},
+    interface.Fail: lambda action: {"op": "LOSE", "tid": action.id},
+    interface.Cancel: lambda action: {"op": "REVOKE", "tid": action.id, "attempt": action.attempt},
+    interface.SetTimer: lambda action: {"op": "AFTER", "ref": action.ref, "offsetMs": action.after_ms},
+    interface.Tell: lambda action: {
+        "op": "MEMO_TO",
+        "dest": "*" if action.to is None else action.to,
+        "contents": action.text,
+    },
+    interface.Count: lambda action: {
+        "op": "ADD_AND_GET",
+        "counter": action.name,
+        "n": action.amount,
+        "forgetAfterMs": action.forget_after_ms,
+    },
+    interface.Probe: lambda action: {"op": "TOUCH", "backend": action.server},
+    interface.Watch: lambda action: {"op": "TAIL", "enable": action.on},
+    interface.Fetch: lambda action: {"op": "LIST_ALL"},
+    interface.Log: lambda action: {"op": "REMARK", "message": action.text},
+}
 
 
 class Host:
-    """The instances of this process. ``line`` takes one wire line and returns what it answers."""
+    """The policies of this process, by instance number."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.instances: dict[int, Policy] = {}
-        self.directories: dict[int, tuple[i.Server, ...]] = {}
+        self.directories: dict[int, tuple[interface.Server, ...]] = {}
         self.replies: list[bytes] = []
 
     def handle_line(self, message: Fields) -> bytes | None:
+        """Handle one line; returns the batch's replies at its end, else None. Raises WireError, KeyError and others
+        where the line is not valid."""
         op = message.get("op")
         if op == "CLOCK":
             self.now = message["atTimeMs"]
         elif op == "EOF_BATCH":
             self.replies.append(b'{"op":"END"}\n')
-            reply, self.replies = b"\n".join(self.replies), []
+            reply = b"\n".join(self.replies)
+            self.replies = []
             return reply
         elif op == "DIRECTORY":
-            self.directories[message.get("sheet", 0)] = tuple(_server(e) for e in message.get("membersList", ()))
+            self.directories[message.get("sheet", 0)] = tuple(
+                _server(entry) for entry in message.get("membersList", ())
+            )
         elif op == "DOWN":
             self.instances.pop(message["who"], None)
         else:
-            self._event(op, message)
+            self._handle_event(op, message)
         return None
 
-    def _event(self, op: object, message: Fields) -> None:
+    def _handle_event(self, op: object, message: Fields) -> None:
         who = message["who"]
-        event: i.Event | None = None
+        event: interface.Event | None = None
         if op == "UPDATE":
             scope = SCOPES[message["scope"]]
-            servers = () if scope is i.Scope.FAILED else self.directories[message.get("sheet", 0)]
-            event = i.Members(scope, servers)
+            servers = () if scope is interface.Scope.FAILED else self.directories[message.get("sheet", 0)]
+            event = interface.Members(scope, servers)
         elif op in EVENTS:
             event = EVENTS[op](message)
         elif op != "BEGIN":
             raise WireError(f"unknown op {op!r}")
-        start = parse_settings(message["options"]) if event is None else None
+        settings = parse_settings(message["options"]) if event is None else None
         try:
-            if start is not None:
-                policy = self.instances[who] = Policy(start, message.get("randomSeed", 0), self.now)
+            if settings is not None:
+                policy = self.instances[who] = Policy(settings, message.get("randomSeed", 0), self.now)
                 actions = policy.start()
             else:
                 actions = self.instances[who].handle(self.now, event)
-        except Exception as error:  # noqa: BLE001 - whatever the module raised is reported, not hidden
-            if who not in self.instances and start is None:
+        except Exception as error:  # noqa: BLE001 - whatever the policy raised is reported
+            if who not in self.instances and settings is None:
                 raise WireError(f"no instance {who}") from None
             text = f"{type(error).__name__}: {error}"
             self.replies.append(orjson.dumps({"op": "FAULT", "who": who, "message": text}))
@@ -141,8 +175,11 @@
             self.replies.append(orjson.dumps(fields))
 
 
-def serve(lines: Iterable[bytes], write: Callable[[bytes], object], complain: Callable[[str], object]) -> int:
-    """Answer batches until the input ends; returns the exit code."""
+def serve(lines: Iterable[bytes], write: Callable[[bytes], object], report: Callable[[str], object]) -> int:
+    """Answer batches until the input ends.
+
+    Returns the exit code: 0, or 2 after a line that is not valid, which is named to ``report``.
+    """
     host = Host()
     for number, raw in enumerate(lines, 1):
         if not raw.strip():
@@ -150,10 +187,10 @@
         try:
             reply = host.handle_line(orjson.loads(raw))
         except KeyError as error:
-            complain(f"rushweir: line {number}: missing or unknown field or value {error}\n")
+            report(f"rushweir: line {number}: missing or unknown field or value {error}\n")
             return 2
         except (ValueError, TypeError, AttributeError) as error:
-            complain(f"rushweir: line {number}: {error}\n")
+            report(f"rushweir: line {number}: {error}\n")
             return 2
         if reply is not None:
             write(reply)
@@ -161,6 +198,7 @@
 
 
 def main(stdin: BinaryIO | None = None, stdout: BinaryIO | None = None) -> int:
+    """Serve standard input and output; returns the exit code."""
     out = stdout or sys.stdout.buffer
 
     def write(reply: bytes) -> None:
