--- a/rushweir/daemon/traces.py
+++ b/rushweir/daemon/traces.py
@@ -25,13 +25,13 @@
         span = self.tracer.start_span(
             "request", kind=SpanKind.SERVER, start_time=_ns(course.taken_ms),
             attributes={
-                "rushweir.request": course.request_id, "rushweir.class": course.cls,
+                "rushweir.request": course.request_id, "rushweir.class": course.class_name,
                 "rushweir.partner": course.partner,
-                "rushweir.connection": course.conn, "rushweir.answer": course.kind, "rushweir.why": course.why,
+                "rushweir.connection": course.conn, "rushweir.answer": course.kind, "rushweir.why": course.reason,
             },
         )  # fmt: skip
         if course.kind == AnswerKind.FAILED:
-            span.set_status(StatusCode.ERROR, course.why)
+            span.set_status(StatusCode.ERROR, course.reason)
         inside = trace.set_span_in_context(span)
         for a in course.attempts:
             began = course.taken_ms + a["after_ms"]
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    server: str
+    node: str
     sent_ms: float
 
 
@@ -224,7 +224,7 @@
     # --- inside ----------------------------------------------------------------------------------
 
     def _place(self, job: c.Attempt | Probe) -> None:
-        b = self.nodes.get(job.server)
+        b = self.nodes.get(job.node)
         if b is None or not b.ready:
             self._end(job, i.Result.SUPERSEDED)
             return
@@ -300,7 +300,7 @@
             data = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (s.probe_path, s.host)
         else:
             p = job.payload
-            data = b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (p.head, max(1, int(job.until_ms - self.now)), p.body)
+            data = b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (p.head, max(1, int(job.deadline_ms - self.now)), p.body)
         self.out.append(c.Write(link.conn, data))
 
     def _give_up(self, job: c.Attempt | Probe, result: i.Result) -> None:
@@ -324,7 +324,7 @@
         self.where.pop(id(job), None)
         load = _load(answer) if answer is not None else None
         if isinstance(job, Probe):
-            self.ended.append(c.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
+            self.ended.append(c.ProbeEnded(job.node, result, self.now - job.sent_ms, load))
         elif answer is None:
             self.ended.append(c.AttemptEnded(job, result))
         else:
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -231,9 +231,9 @@
             self._write(200, answer.body)
         elif answer.kind == AnswerKind.REFUSED:
             wait = b"Retry-After: %.3f\r\n" % (answer.retry_after_ms / 1000) if answer.retry_after_ms > 0 else b""
-            self._write(429 if answer.why in QUOTA else 503, answer.why.encode(), wait)
+            self._write(429 if answer.reason in QUOTA else 503, answer.reason.encode(), wait)
         else:
-            self._write(502, answer.why.encode())
+            self._write(502, answer.reason.encode())
 
     def _write(self, status: int, body: bytes, more: bytes = b"") -> None:
         # Clients may hold only so many connections, and some ask once and keep theirs for good: those answered while
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -262,7 +262,7 @@
             self._send_error(problem, batch_answers)
             return
         if within is not None and (ask.within_ms is None or within < ask.within_ms):
-            ask = Query(ask.cls, ask.payload, within, ask.units)
+            ask = Query(ask.class_name, ask.payload, within, ask.units)
         self.open_ids.add(message.id)
         self.new_requests.append((RequestRef(message.id, batch_answers), ask))
 
@@ -313,15 +313,15 @@
             else:
                 text = rpc.result(ref.id, body[1] if body is not None else None)
         elif answer.kind == AnswerKind.REFUSED:
-            unknown = answer.why == "unknown_class"
+            unknown = answer.reason == "unknown_class"
             data = {
-                "reason": answer.why, "repeat": "harmless", "retry_after_ms": math.ceil(answer.retry_after_ms),
+                "reason": answer.reason, "repeat": "harmless", "retry_after_ms": math.ceil(answer.retry_after_ms),
                 "request": answer.request_id,
             }  # fmt: skip
             code = rpc.METHOD_NOT_FOUND if unknown else rpc.REFUSED
-            text = rpc.error(ref.id, code, f"refused: {answer.why}", data)
+            text = rpc.error(ref.id, code, f"refused: {answer.reason}", data)
         else:
-            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.request_id})
+            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.reason, "request": answer.request_id})
         if ref.batch is None:
             self._send_text(text)
         else:
--- a/rushweir/ingress/clients.py
+++ b/rushweir/ingress/clients.py
@@ -87,7 +87,7 @@
             assert partner is not None
             if self.core.fleet is not None:
                 self.core.fleet.asked(self.core, partner, ask.units)
-            if self.core.load_shedder.admits(self.core.values.get((ask.cls, partner.plan), 0.0)):
+            if self.core.load_shedder.admits(self.core.values.get((ask.class_name, partner.plan), 0.0)):
                 self.engine.request(self.core.now, client.conn, ref, partner, ask)
             else:
                 wait = self.core.load_shedder.retry_after_ms()
--- a/rushweir/ingress/commands.py
+++ b/rushweir/ingress/commands.py
@@ -16,9 +16,9 @@
 
     request_id: str
     number: int
-    server: str
+    node: str
     sent_ms: float
-    until_ms: float
+    deadline_ms: float
     payload: dict[str, Any]
     method: str
     ended: bool = False
@@ -58,7 +58,7 @@
     ref: Any
     kind: AnswerKind
     body: Any = None  # the node's result, or its error object
-    why: str = ""
+    reason: str = ""
     retry_after_ms: float = 0.0
     request_id: str = ""  # by which operators find the request; none where it was not taken
 
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class ProbeNode:
-    server: str
+    node: str
 
 
 @dataclass(slots=True)
@@ -118,14 +118,14 @@
     attempt: Attempt
     result: i.Result
     body: Any = None
-    used: int = 0
+    quota_used: int = 0
     cost: float = 0.0
     load: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    server: str
+    node: str
     result: i.Result
     spent_ms: float
     load: dict[str, float] | None = None
@@ -202,7 +202,7 @@
 class EndProcess:
     """This process may not go on."""
 
-    why: str
+    reason: str
 
 
 EngineCommand = (
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -57,7 +57,7 @@
             c.Answer: self.clients.answer,
             c.SendPeerMessage: self._tell_peer,
             c.CallCounter: self._call_counter,
-            c.ProbeNode: lambda x: self.pool.probe(self.now, x.server),
+            c.ProbeNode: lambda x: self.pool.probe(self.now, x.node),
             c.WatchList: lambda x: self.list.watch(self.now, x.on) if self.list else self._no_list(),
             c.FetchList: lambda x: self.list.fetch(self.now) if self.list else self._no_list(),
             c.LogEvent: self.log_event,
@@ -274,10 +274,16 @@
                 for end in ended:
                     if isinstance(end, c.AttemptEnded):
                         engine.outcome(
-                            self.now, end.attempt, end.result, end.body, used=end.used, cost=end.cost, load=end.load
+                            self.now,
+                            end.attempt,
+                            end.result,
+                            end.body,
+                            quota_used=end.quota_used,
+                            cost=end.cost,
+                            load=end.load,
                         )
                     else:
-                        engine.probed(self.now, end.server, end.result, end.spent_ms, end.load)
+                        engine.probed(self.now, end.node, end.result, end.spent_ms, end.load)
                 continue
             if counter is not None and counter.ended:
                 calls, counter.ended = counter.ended, []
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -129,26 +129,26 @@
     def request(self, now: float, conn: int, ref: Any, partner: Partner, ask: Query) -> str | None:
         """Take a request; returns its id, or None where it was answered before it was taken."""
         self.now = now
-        cls = self.classes.get(ask.cls)
+        request_class = self.classes.get(ask.class_name)
         self.counts["requests"] += 1
-        deadline = cls.deadline_ms if cls else 0.0
+        deadline = request_class.deadline_ms if request_class else 0.0
         within = deadline if ask.within_ms is None else min(ask.within_ms, deadline)
         # It counts from when the request came, which may have waited behind the one before it on its connection.
         not_after = (now if ask.arrived_ms is None else ask.arrived_ms) + within - self.margin
         # From here on all times are the policy's: what the client's clock says is the margin's affair.
-        why = "unknown_class" if cls is None else "ingress_full" if self.ledger.is_full() else ""
+        why = "unknown_class" if request_class is None else "ingress_full" if self.ledger.is_full() else ""
         if why or not_after <= now + ENDING_MS:
             # None of it is a decision about load: these can't be put to the policy at all.
             self.reject(now, conn, ref, partner, ask, why or "too_late")
             return None
         self.ledger.serial += 1
         request_id = f"{self.boot}{self.ledger.serial:x}"
-        entry = Entry(request_id, conn, ref, ask.cls, partner.name, ask.units, now, not_after, ask.payload)
+        entry = Entry(request_id, conn, ref, ask.class_name, partner.name, ask.units, now, not_after, ask.payload)
         self.ledger.take(entry)
         self.call_at(not_after - ENDING_MS, self._deadline, entry)
         event = i.Request(
             request_id,
-            ask.cls,
+            ask.class_name,
             partner.plan,
             partner.name,
             not_after,
@@ -199,7 +199,7 @@
         result: i.Result,
         body: Any = None,
         *,
-        used: int = 0,
+        quota_used: int = 0,
         cost: float = 0.0,
         load: dict[str, float] | None = None,
     ) -> None:
@@ -218,8 +218,8 @@
         if result is i.Result.OK and entry.state is not DONE:
             self._answer(entry, c.AnswerKind.SERVED, body)
         event = i.Outcome(
-            attempt.request_id, attempt.number, attempt.server, result, now - attempt.sent_ms, entry.state is DONE,
-            used, cost, load,
+            attempt.request_id, attempt.number, attempt.node, result, now - attempt.sent_ms, entry.state is DONE,
+            quota_used, cost, load,
         )  # fmt: skip
         self._tell(event, entry)
 
@@ -282,7 +282,7 @@
             self._odd("send", action.id)
             return
         n, until = len(entry.attempts), min(action.until_ms or entry.not_after, entry.not_after - ENDING_MS)
-        attempt = c.Attempt(entry.request_id, n, action.server, self.now, until, entry.payload, entry.cls)
+        attempt = c.Attempt(entry.request_id, n, action.server, self.now, until, entry.payload, entry.class_name)
         limits = self.settings.limits
         twice = entry.out and not limits.parallel_attempts
         gone = entry.state is not DONE and not self.is_connected(entry.conn)
@@ -306,7 +306,7 @@
         entry = self.ledger.entries.get(attempt.request_id)
         settled = entry is None or entry.state is DONE
         self._tell(
-            i.Outcome(attempt.request_id, attempt.number, attempt.server, i.Result.SUPERSEDED, 0.0, settled), entry
+            i.Outcome(attempt.request_id, attempt.number, attempt.node, i.Result.SUPERSEDED, 0.0, settled), entry
         )
 
     def _refuse(self, action: i.Refuse) -> None:
--- a/rushweir/ingress/ledger.py
+++ b/rushweir/ingress/ledger.py
@@ -39,15 +39,16 @@
     """One request taken, and all that is known of it."""
 
     __slots__ = (
-        "attempts", "conn", "pending_trace", "customer", "cls", "may_have_run", "method", "not_after", "out",
+        "attempts", "conn", "pending_trace", "customer", "class_name", "may_have_run", "method", "not_after", "out",
         "payload", "ref", "request_id", "state", "taken", "units",
     )  # fmt: skip
 
     def __init__(
-        self, request_id: str, conn: int, ref: Any, cls: str, customer: str, units: float, taken: float,
+        self, request_id: str, conn: int, ref: Any, class_name: str, customer: str, units: float, taken: float,
         not_after: float, payload: dict[str, Any],
     ) -> None:  # fmt: skip
-        self.request_id, self.conn, self.ref, self.cls, self.customer = request_id, conn, ref, cls, customer
+        self.request_id, self.conn, self.ref = request_id, conn, ref
+        self.class_name, self.customer = class_name, customer
         self.units, self.taken, self.not_after, self.payload = units, taken, not_after, payload
         self.state = HELD
         self.pending_trace: Any = None  # what the watch wants noted of it when its last attempt is back
--- a/rushweir/ingress/queries.py
+++ b/rushweir/ingress/queries.py
@@ -20,7 +20,7 @@
 class Query:
     """A request as a front understood it."""
 
-    cls: str
+    class_name: str
     payload: Any  # what goes to the node, in the form of its front and pool
     within_ms: float | None = None  # how long the client says that it waits; None: the class's deadline
     units: float = 1.0
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -96,7 +96,7 @@
             c.SendDatagram: self._send_to,
             c.SaveFile: self._save_file,
             c.SetPeerAddresses: self._peers,
-            c.EndProcess: lambda order: end(order.why) if end is not None else None,
+            c.EndProcess: lambda order: end(order.reason) if end is not None else None,
             c.LogEvent: log or (lambda _: None),
         }
 
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -70,7 +70,7 @@
     def send(self, now: float, attempt: c.Attempt) -> None:
         self.now = now
         low, high = WORK_MS
-        middle = low * (high / low) ** (crc32(attempt.server.encode()) / 0xFFFFFFFF)
+        middle = low * (high / low) ** (crc32(attempt.node.encode()) / 0xFFFFFFFF)
         self.open[id(attempt)] = attempt
         self.at(now + middle * self.rng.lognormvariate(0.0, SPREAD), self._done, attempt)
 
--- a/rushweir/nodes/answers.py
+++ b/rushweir/nodes/answers.py
@@ -19,9 +19,9 @@
         )  # fmt: skip
     code = reply.error["code"]
     if code == rpc.NODE_FULL:
-        return c.AttemptEnded(attempt, i.Result.FULL, used=_told(reply.error, "used"))
+        return c.AttemptEnded(attempt, i.Result.FULL, quota_used=_told(reply.error, "used"))
     if code in rpc.SERVER_RANGE or code in (rpc.INTERNAL_ERROR, rpc.PARSE_ERROR, rpc.INVALID_REQUEST):
-        return c.AttemptEnded(attempt, i.Result.ERROR, used=_told(reply.error, "used"))
+        return c.AttemptEnded(attempt, i.Result.ERROR, quota_used=_told(reply.error, "used"))
     # Any other code is the application's own answer ("no such ride"): the node did its work, and the client
     # is told what it said.
     return c.AttemptEnded(attempt, i.Result.OK, ("error", reply.error))
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -52,7 +52,7 @@
 
     def send(self, now: float, attempt: c.Attempt) -> None:
         self.now = now
-        node = self._node(attempt.server)
+        node = self._node(attempt.node)
         if node is None:
             self._end(attempt, i.Result.CONNECT_FAILED)
             return
@@ -224,7 +224,7 @@
             link.serial += 1
             link.streams[link.serial] = attempt
             params = {**attempt.payload, "request": attempt.request_id, "attempt": attempt.number,
-                      "within_ms": max(0.0, attempt.until_ms - self.now)}  # fmt: skip
+                      "within_ms": max(0.0, attempt.deadline_ms - self.now)}  # fmt: skip
             # Marks this ingress's own repeats where the client named none.
             params.setdefault("key", attempt.request_id)
             link.messages.send(rpc.call(attempt.method, params, link.serial))
--- a/rushweir/watch/request_traces.py
+++ b/rushweir/watch/request_traces.py
@@ -22,19 +22,19 @@
     request_id: str
     client_id: Any
     conn: int
-    cls: str
+    class_name: str
     partner: str
     taken_ms: float
     ended_ms: float
     kind: str
-    why: str
+    reason: str
     attempts: tuple[dict[str, Any], ...]
 
     def as_row(self) -> dict[str, Any]:
         return {
-            "request": self.request_id, "client_id": self.client_id, "connection": self.conn, "class": self.cls,
-            "partner": self.partner, "at": self.taken_ms, "took_ms": round(self.ended_ms - self.taken_ms, 2),
-            "kind": self.kind, "why": self.why, "attempts": list(self.attempts),
+            "request": self.request_id, "client_id": self.client_id, "connection": self.conn,
+            "class": self.class_name, "partner": self.partner, "at": self.taken_ms,
+            "took_ms": round(self.ended_ms - self.taken_ms, 2), "kind": self.kind, "why": self.reason, "attempts": list(self.attempts),
         }  # fmt: skip
 
 
--- a/rushweir/watch/telemetry.py
+++ b/rushweir/watch/telemetry.py
@@ -74,7 +74,7 @@
         took = now - entry.taken
         self.usage.count(now, entry.customer, kind, entry.units)
         self.history.answered(now, kind, why, took)
-        counts = self.classes.get(entry.cls)
+        counts = self.classes.get(entry.class_name)
         if counts is not None:
             counts.kinds[kind] += 1
             if kind == AnswerKind.SERVED:
@@ -92,7 +92,7 @@
 
     def attempted(self, now: float, attempt: Attempt, result: str) -> None:
         """An attempt ended."""
-        node = self.nodes.get(attempt.server)
+        node = self.nodes.get(attempt.node)
         if node is not None:
             node.results[result] = node.results.get(result, 0) + 1
             if result == "ok":
@@ -108,7 +108,7 @@
         ring, kind, why, ended = entry.pending_trace
         attempts = tuple(
             {
-                "number": a.number, "node": a.server, "after_ms": round(a.sent_ms - entry.taken, 2),
+                "number": a.number, "node": a.node, "after_ms": round(a.sent_ms - entry.taken, 2),
                 "result": a.result, "took_ms": round(a.ended_ms - a.sent_ms, 2),
             }
             for a in entry.attempts
@@ -118,7 +118,7 @@
             entry.request_id,
             client_id,
             entry.conn,
-            entry.cls,
+            entry.class_name,
             entry.customer,
             entry.taken,
             ended,
@@ -134,8 +134,9 @@
         return LogEvent(
             "warning", "request_failed",
             {
-                "request": entry.request_id, "connection": entry.conn, "class": entry.cls, "partner": entry.customer,
-                "why": why, "attempts": [f"{a['number']}:{a['node']}:{a['result']}" for a in attempts],
+                "request": entry.request_id, "connection": entry.conn, "class": entry.class_name,
+                "partner": entry.customer, "why": why,
+                "attempts": [f"{a['number']}:{a['node']}:{a['result']}" for a in attempts],
             },
         )  # fmt: skip
 
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -82,7 +82,7 @@
     assert len(asked) == 1 and conn.take() == ([], False), conn.take()
     ask = asked[0][1]
     p = ask.payload
-    return asked[0][0], ask.cls, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
+    return asked[0][0], ask.class_name, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
 
 
 @pytest.mark.parametrize("name", SAFE)
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -146,7 +146,7 @@
     connected = ConnectedFront()
     (got,) = connected.send(call("x", key="k", units=2, within_ms=500, data={"to": "Keleti"}))
     ref, ask = got
-    assert (ask.cls, ask.within_ms, ask.units) == ("booking", 500, 2.0)
+    assert (ask.class_name, ask.within_ms, ask.units) == ("booking", 500, 2.0)
     assert ask.payload == {"partner": "hotel", "data": {"to": "Keleti"}, "units": 2, "key": "hotel/k"}
     connected.front.answer(Answer(1, ref, AnswerKind.SERVED, ("result", {"ok": 1})))
     assert connected.received_messages() == [{"jsonrpc": "2.0", "id": "x", "result": {"ok": 1}}]
--- a/tests/ingress/test_engine.py
+++ b/tests/ingress/test_engine.py
@@ -52,8 +52,8 @@
     return out
 
 
-def take(engine, now=0.0, cls="look", within=1000.0, conn=1):
-    engine.request(now, conn, "ref", WHO, Query(cls, {"data": 1}, within))
+def take(engine, now=0.0, class_name="look", within=1000.0, conn=1):
+    engine.request(now, conn, "ref", WHO, Query(class_name, {"data": 1}, within))
     return drain(engine)
 
 
@@ -61,8 +61,8 @@
     engine, policy = made
     (send,) = take(engine)
     assert policy.seen[-1] == i.Request("b-1", "look", "p", "hotel", 975.0, 1.0, 1, 0)
-    assert (send.attempt.server, send.attempt.until_ms, send.attempt.payload) == ("n:1", 970.0, {"data": 1})
-    engine.outcome(40.0, send.attempt, i.Result.OK, ("result", 3), used=5, cost=2.0)
+    assert (send.attempt.node, send.attempt.deadline_ms, send.attempt.payload) == ("n:1", 970.0, {"data": 1})
+    engine.outcome(40.0, send.attempt, i.Result.OK, ("result", 3), quota_used=5, cost=2.0)
     (answer,) = drain(engine)
     assert (answer.kind, answer.body, answer.request_id) == ("served", ("result", 3), "b-1")
     assert policy.seen[-1] == i.Outcome("b-1", 0, "n:1", i.Result.OK, 40.0, True, 5, 2.0)
@@ -114,11 +114,11 @@
     for ask, why in ((Query("nix", {}), "unknown_class"), (Query("look", {}, 20.0), "too_late")):
         assert engine.request(0.0, 1, "r", WHO, ask) is None
         (answer,) = drain(engine)
-        assert (answer.kind, answer.why) == ("refused", why)
+        assert (answer.kind, answer.reason) == ("refused", why)
     for _ in range(3):
         take(engine)
     (answer,) = take(engine)
-    assert (answer.kind, answer.why) == ("refused", "ingress_full")
+    assert (answer.kind, answer.reason) == ("refused", "ingress_full")
     assert len([e for e in policy.seen if isinstance(e, i.Request)]) == 3
 
 
@@ -157,16 +157,16 @@
     assert not drain(engine)  # this policy says nothing
     engine.advance(970.0)
     (answer,) = drain(engine)
-    assert (answer.kind, answer.why) == ("failed", "overdue")
+    assert (answer.kind, answer.reason) == ("failed", "overdue")
 
 
 def test_held_to_the_end_is_a_refusal(made):
     engine, policy = made
     policy.answers[i.Request] = []
-    assert take(engine, cls="pay") == []
+    assert take(engine, class_name="pay") == []
     engine.advance(970.0)
     (answer,) = drain(engine)
-    assert (answer.kind, answer.why) == ("refused", "overdue")
+    assert (answer.kind, answer.reason) == ("refused", "overdue")
     assert policy.seen[-1] == i.Gone("b-1")
 
 
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -136,7 +136,8 @@
     w.answer(conn, rpc.result(ids[5], 17))
     ended = w.ended()
     assert [e.result.value for e in ended] == ["ok", "full", "error", "error", "ok", "ok"]
-    assert (ended[0].body, ended[0].cost, ended[0].used, ended[0].load) == (("result", 5), 2.0, 7, {"util": 0.5})
+    first = ended[0]
+    assert (first.body, first.cost, first.quota_used, first.load) == (("result", 5), 2.0, 7, {"util": 0.5})
     assert ended[4].body == ("error", {"code": 404, "message": "no such ride"})
     assert ended[5].body == ("result", 17) and [e.attempt for e in ended] == attempts
 
