--- a/rushweir/watch/request_traces.py
+++ b/rushweir/watch/request_traces.py
@@ -34,7 +34,8 @@
         return {
             "request": self.request_id, "client_id": self.client_id, "connection": self.conn,
             "class": self.class_name, "partner": self.partner, "at": self.taken_ms,
-            "took_ms": round(self.ended_ms - self.taken_ms, 2), "kind": self.kind, "why": self.reason, "attempts": list(self.attempts),
+            "took_ms": round(self.ended_ms - self.taken_ms, 2), "kind": self.kind, "why": self.reason,
+            "attempts": list(self.attempts),
         }  # fmt: skip
 
 
