--- a/rushweir/ingress/commands.py
+++ b/rushweir/ingress/commands.py
@@ -1,18 +1,18 @@
-"""What the engine and the core ask of those who carry it out. Plain records; times in milliseconds."""
+"""Commands of the engine to the core and of the core to its shell, as plain records. Times are in milliseconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-from rushweir import interface as i
+from rushweir import interface
 
-# --- the engine to the core -----------------------------------------------------------------------
+# --- from the engine to the core ------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request, from the policy's Send to its one Outcome."""
+    """One attempt of a request, from the policy's ``Send`` to its one ``Outcome``."""
 
     request_id: str
     number: int
@@ -20,65 +20,73 @@
     sent_ms: float
     deadline_ms: float
     payload: dict[str, Any]
-    method: str
+    method: str  # the name of the request's class
     ended: bool = False
-    result: str = ""  # how it ended ...
-    ended_ms: float = 0.0  # ... and when
+    result: str = ""  # value of the ``Result`` that it ended with
+    ended_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class SendAttempt:
+    """Send an attempt to its node."""
+
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Stop waiting for an attempt."""
+
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class WithdrawAttempt:
-    """Nobody waits for it any more: what of it is not on its way to the node never goes."""
+    """Drop an attempt that is not sent yet, since nobody waits for its request; one that is sent goes on."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class ExpireAttempt:
-    """Its time is up: nothing of it may be written any more, and what comes back is late."""
+    """End an attempt whose deadline has passed: nothing more of it is written, and a later answer is ignored."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class Answer:
-    """The one final answer of a request, for the connection it came by."""
+    """Send a request's one final answer to the connection that it came from."""
 
     conn: int
-    ref: Any
+    ref: Any  # the front's own reference to the request
     kind: AnswerKind
     body: Any = None  # the node's result, or its error object
     reason: str = ""
     retry_after_ms: float = 0.0
-    request_id: str = ""  # by which operators find the request; none where it was not taken
+    request_id: str = ""  # by which operators find the request; empty if it was rejected
 
 
 class AnswerKind:
-    """Kinds of final answers. (Plain text instead of an Enum: compared on each answer, and logged.)"""
+    """Kinds of final answers: plain strings, since they are compared for each answer and logged."""
 
     SERVED = "served"
-    REFUSED = "refused"  # not done; trying again is harmless
-    FAILED = "failed"  # promises nothing
+    REFUSED = "refused"  # not executed; a retry does no harm
+    FAILED = "failed"  # may have been executed
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
+    """Send a message of the policy to another ingress, or to all (``to`` is None)."""
+
     to: int | None
     text: str
 
 
 @dataclass(slots=True)
 class CallCounter:
+    """Add an amount to a named shared counter."""
+
     name: int
     amount: float
     forget_after_ms: float
@@ -86,37 +94,41 @@
 
 @dataclass(slots=True)
 class ProbeNode:
+    """Probe a node."""
+
     node: str
 
 
 @dataclass(slots=True)
 class WatchList:
+    """Start or stop watching the node list."""
+
     on: bool
 
 
 @dataclass(slots=True)
 class FetchList:
-    pass
+    """Fetch the node list once."""
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """A line for the log. ``cause`` is fixed text, so that lines of one cause can be counted and limited."""
+    """Write an event to the log. ``cause`` is a fixed text, by which events are counted and limited."""
 
     level: str
     cause: str
     fields: dict[str, Any] = field(default_factory=dict)
 
 
-# --- the pool of nodes to the core ---------------------------------------------------------------
+# --- from the pool of nodes to the core -----------------------------------------------------------
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How an attempt ended, for the engine."""
+    """An attempt has ended; the fields are those of the interface's ``Outcome``."""
 
     attempt: Attempt
-    result: i.Result
+    result: interface.Result
     body: Any = None
     quota_used: int = 0
     cost: float = 0.0
@@ -125,18 +137,20 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe has ended."""
+
     node: str
-    result: i.Result
+    result: interface.Result
     spent_ms: float
     load: dict[str, float] | None = None
 
 
-# --- the core to the shell ------------------------------------------------------------------------
+# --- from the core to the shell -------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Dial:
-    """Open a connection; ends in ``dialed`` or ``dial_failed``."""
+    """Open a connection; the core's ``dialed`` or ``dial_failed`` is called at the end."""
 
     conn: int
     host: str
@@ -146,13 +160,15 @@
 
 @dataclass(slots=True)
 class Write:
+    """Write bytes to a connection."""
+
     conn: int
     data: bytes
 
 
 @dataclass(slots=True)
 class CloseConnection:
-    """Write out what is queued, then end the connection; within ``within_ms``, else abort it."""
+    """Close a connection once its queued bytes are written; abort it after ``within_ms``."""
 
     conn: int
     within_ms: float = 1000.0
@@ -160,23 +176,29 @@
 
 @dataclass(slots=True)
 class AbortConnection:
+    """Close a connection at once; queued bytes are dropped."""
+
     conn: int
 
 
 @dataclass(slots=True)
 class SendPeerDatagram:
+    """Send a datagram to the ingress with this number."""
+
     peer: int
     data: bytes
 
 
 @dataclass(slots=True)
 class SaveList:
+    """Write the node list to the state folder."""
+
     data: bytes
 
 
 @dataclass(slots=True)
 class SendDatagram:
-    """A datagram to where a member of the fleet said that it is."""
+    """Send a datagram to an address of a member of the fleet."""
 
     address: tuple[str, int]
     data: bytes
@@ -184,7 +206,7 @@
 
 @dataclass(slots=True)
 class SaveFile:
-    """Keep a file in the state folder, then tell ``file_saved`` its serial."""
+    """Write a file to the state folder, then call the core's ``file_saved`` with the serial."""
 
     name: str
     serial: int
@@ -193,14 +215,14 @@
 
 @dataclass(slots=True)
 class SetPeerAddresses:
-    """Where the ingresses are from now on, by their numbers."""
+    """Replace the addresses of the other ingresses, by their numbers."""
 
     addresses: dict[int, tuple[str, int]]
 
 
 @dataclass(slots=True)
 class EndProcess:
-    """This process may not go on."""
+    """End the process, for this reason."""
 
     reason: str
 
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -108,7 +108,7 @@
     def _beat(self, planned: float) -> None:
         """How late this turn comes shows how short of CPU the process is; what is taken is due the earlier."""
         self.load_shedder.record_delay(self.now - planned)
-        self.engine.margin = self.setup.margin_ms + self.load_shedder.delay_ms
+        self.engine.margin_ms = self.setup.margin_ms + self.load_shedder.delay_ms
         history = self.telemetry.history
         history.worst_delay = max(history.worst_delay, self.load_shedder.delay_ms)
         if (level := self.load_shedder.level) != self.level:
@@ -241,7 +241,7 @@
         self._at(now)
         self.setup = setup
         settings = setup.settings if self.fleet is None else self.fleet.among(setup.settings)
-        self.engine.adopt(now, settings, setup.margin_ms)
+        self.engine.apply_settings(now, settings, setup.margin_ms)
         self.load_shedder.adopt(setup.late_ms, setup.max_late_ms)
         self._value_classes()
         self.telemetry.usage.know(setup.partners())
@@ -342,7 +342,7 @@
         self.draining = True
         if self.fleet is not None:
             self.fleet.hand_over(self)
-        self.engine.adopt(now, settings, self.setup.margin_ms)
+        self.engine.apply_settings(now, settings, self.setup.margin_ms)
         for client in list(self.clients.open.values()):
             self.clients.leave_if_idle(client)
         self._run()
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -1,9 +1,9 @@
-"""The engine: what happened goes to the policy, what it decides goes out as commands. No I/O, no clock.
+"""The engine passes events to the policy and turns the policy's actions into commands. No I/O, no clock.
 
-The engine decides nothing about admission, servers, time-outs or repeats; it keeps the ledger, so that what
-leaves it obeys the facts whatever the policy says: one final answer for each request, no attempt for a
-request that is finished, no more attempts than the settings allow. An action that the ledger can't carry out
-is answered to the policy as the bench answers it (an attempt ends as SUPERSEDED: it never ran) and counted.
+The engine decides nothing about admission, load balancing, time-outs or retries. It keeps the ledger, so that its
+commands are correct whatever the policy returns: one final answer for each request, no attempt for a finished
+request, no more attempts than the settings allow. An action that the ledger does not allow is counted and, as in the
+simulator, reported to the policy as an attempt that ended with SUPERSEDED: it never ran.
 
 Times are milliseconds of one clock that never runs backwards. Equal calls give equal commands.
 """
@@ -17,42 +17,42 @@
 from math import ceil
 from typing import Any, Protocol
 
-from rushweir import interface as i
-from rushweir.ingress import commands as c
+from rushweir import interface
+from rushweir.ingress import commands
 from rushweir.ingress.ledger import ANSWER, DONE, LEFT, Entry, Ledger
 from rushweir.ingress.queries import Partner, Query
 
-ENDING_MS = 5.0  # attempts end this long before their request's time, while the policy can still answer in time
-STEP_MS = 4.0  # timers of the policy come in such steps, so that one wake-up serves many
-FAULT_PAUSE_MS = 100.0  # a policy timer whose handling raised comes again after this, at least
+ATTEMPT_END_MARGIN_MS = 5.0  # attempts end this long before their request's deadline, so that the policy can answer
+TIMER_STEP_MS = 4.0  # the policy's timers are rounded up to such steps, so that one wake-up serves several
+FAULT_PAUSE_MS = 100.0  # a timer whose handling raised is repeated after this time
 
 
 class DecisionPolicy(Protocol):
-    """What the engine needs of a policy; interface.py has the contract."""
+    """What the engine needs of a policy; ``rushweir.interface`` has the contract."""
 
-    def start(self) -> list[i.Action]: ...
+    def start(self) -> list[interface.Action]: ...
 
-    def handle(self, now_ms: float, event: i.Event) -> list[i.Action]: ...
+    def handle(self, now_ms: float, event: interface.Event) -> list[interface.Action]: ...
 
 
 class RequestObserver(Protocol):
-    """Whoever wants to see what becomes of requests (watch/telemetry.py). It changes nothing of it."""
+    """Observes requests without a part in them; ``watch/telemetry.py`` implements it."""
 
-    def answered(self, now: float, entry: Entry, kind: str, why: str) -> None: ...
+    def answered(self, now: float, entry: Entry, kind: str, reason: str) -> None: ...
 
-    def request_rejected(self, now: float, partner: str, units: float, why: str) -> None: ...
+    def request_rejected(self, now: float, partner: str, units: float, reason: str) -> None: ...
 
-    def attempted(self, now: float, attempt: c.Attempt, result: str) -> None: ...
+    def attempted(self, now: float, attempt: commands.Attempt, result: str) -> None: ...
 
-    def over(self, now: float, entry: Entry) -> c.LogEvent | None: ...
+    def request_finished(self, now: float, entry: Entry) -> commands.LogEvent | None: ...
 
 
 class Engine:
-    """The decisions of one ingress at work. Fetch what it wants done from ``commands``, in order, after each call."""
+    """Runs the policy of one ingress. The caller carries out ``commands`` in order after each call."""
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: interface.Settings,
         policy: DecisionPolicy,
         now: float,
         *,
@@ -60,150 +60,149 @@
         boot: str = "",
         telemetry: RequestObserver,
     ) -> None:
-        """``margin_ms`` is taken off each client's time, so that its answer is there before it gives up;
-        ``boot`` makes request ids unlike those of earlier runs."""
-        self.settings, self.policy, self.now = settings, policy, now
-        self.margin, self.boot, self.telemetry = margin_ms, boot, telemetry
+        """``margin_ms`` is subtracted from the time that each client waits, so that the answer arrives in time;
+        ``boot`` is a prefix of request ids that tells them from those of earlier runs."""
+        self.settings = settings
+        self.policy = policy
+        self.now = now
+        self.margin_ms = margin_ms
+        self.boot = boot
+        self.telemetry = telemetry
         self.classes = {cls.name: cls for cls in settings.classes}
         self.ledger = Ledger(settings.limits.max_open_requests)
-        self.commands: deque[c.EngineCommand] = deque()
+        self.commands: deque[commands.EngineCommand] = deque()
         self.timers: list[tuple[float, int, Callable[..., None], Any]] = []
         self.serial = 0
         self.counts: Counter[str] = Counter()
         self.refusals: Counter[str] = Counter()
         self.faults = 0
-        # Whether a client's connection stands at this instant: its end may be there and not read yet, behind what a
-        # busy turn of the loop still does. Whoever has the sockets replaces it.
+        # Whether a client's connection is still open. Its end may have arrived without being read while the event
+        # loop is busy, so the shell replaces this by a look at the socket.
         self.is_connected: Callable[[int], bool] = lambda conn: True
-        self.carry: dict[type, Callable[[Any], None]] = {
-            i.Send: self._send,
-            i.Refuse: self._refuse,
-            i.Fail: self._fail,
-            i.Cancel: self._cancel,
-            i.SetTimer: self._set_timer,
-            i.Tell: lambda a: self.commands.append(c.SendPeerMessage(a.to, a.text)),
-            i.Count: lambda a: self.commands.append(c.CallCounter(a.name, a.amount, a.forget_after_ms)),
-            i.Probe: lambda a: self.commands.append(c.ProbeNode(a.server)),
-            i.Watch: lambda a: self.commands.append(c.WatchList(a.on)),
-            i.Fetch: lambda a: self.commands.append(c.FetchList()),
-            i.Log: lambda a: self.commands.append(c.LogEvent("info", "policy", {"text": a.text[:500]})),
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            interface.Send: self._send,
+            interface.Refuse: self._refuse,
+            interface.Fail: self._fail,
+            interface.Cancel: self._cancel,
+            interface.SetTimer: self._set_timer,
+            interface.Tell: lambda a: self.commands.append(commands.SendPeerMessage(a.to, a.text)),
+            interface.Count: lambda a: self.commands.append(
+                commands.CallCounter(a.name, a.amount, a.forget_after_ms)
+            ),
+            interface.Probe: lambda a: self.commands.append(commands.ProbeNode(a.server)),
+            interface.Watch: lambda a: self.commands.append(commands.WatchList(a.on)),
+            interface.Fetch: lambda a: self.commands.append(commands.FetchList()),
+            interface.Log: lambda a: self.commands.append(
+                commands.LogEvent("info", "policy", {"text": a.text[:500]})
+            ),
         }
 
     # --- time ------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
+        """Start the policy."""
         self.now = now
         self._carry_out(self.policy.start())
 
     def next_at(self) -> float | None:
-        """When ``advance`` has something to do; None: nothing waits."""
+        """When ``advance`` has to be called next, or None."""
         timers = self.timers
-        # The deadlines of requests that are answered are the bulk of what is set: no need to wake up for them.
-        while timers and timers[0][2] == self._deadline and timers[0][3].state is DONE and not timers[0][3].out:
+        # Most timers are deadlines of requests that are answered by now and need no wake-up.
+        while timers and timers[0][2] == self._deadline and timers[0][3].state is DONE and not timers[0][3].in_flight:
             heappop(timers)
         return timers[0][0] if timers else None
 
     def advance(self, now: float) -> None:
-        """Let time pass. What becomes due while this runs waits for the next call, as on the bench."""
+        """Run the timers that are due. Those set meanwhile wait for the next call, as in the simulator."""
         self.now = now
         due = []
         while self.timers and self.timers[0][0] <= now:
             due.append(heappop(self.timers))
-        for _, _, what, argument in due:
-            what(argument)
+        for _, _, function, argument in due:
+            function(argument)
 
-    def call_at(self, when: float, what: Callable[..., None], argument: Any) -> None:
-        # The serial keeps events of one moment in the order in which they were set.
+    def call_at(self, when: float, function: Callable[..., None], argument: Any) -> None:
+        """Call ``function(argument)`` at a time."""
+        # The serial keeps timers of one instant in the order in which they were set.
         self.serial += 1
-        heappush(self.timers, (when, self.serial, what, argument))
+        heappush(self.timers, (when, self.serial, function, argument))
 
-    def adopt(self, now: float, settings: i.Settings, margin_ms: float) -> None:
-        """Other settings from now on; what was taken by the old ones is finished by the old ones."""
-        self.now, self.settings, self.margin = now, settings, margin_ms
+    def apply_settings(self, now: float, settings: interface.Settings, margin_ms: float) -> None:
+        """Apply other settings to new requests; those accepted before keep their class and deadline."""
+        self.now, self.settings, self.margin_ms = now, settings, margin_ms
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.ledger.most = settings.limits.max_open_requests
-        self._tell(settings)
+        self.ledger.max_open_requests = settings.limits.max_open_requests
+        self._notify_policy(settings)
 
-    # --- what happened ---------------------------------------------------------------------------
+    # --- events ----------------------------------------------------------------------------------
 
-    def request(self, now: float, conn: int, ref: Any, partner: Partner, ask: Query) -> str | None:
-        """Take a request; returns its id, or None where it was answered before it was taken."""
+    def request(self, now: float, conn: int, ref: Any, partner: Partner, query: Query) -> str | None:
+        """Accept a request and return its id, or reject it with an answer and return None."""
         self.now = now
-        request_class = self.classes.get(ask.class_name)
+        request_class = self.classes.get(query.class_name)
         self.counts["requests"] += 1
         deadline = request_class.deadline_ms if request_class else 0.0
-        within = deadline if ask.within_ms is None else min(ask.within_ms, deadline)
-        # It counts from when the request came, which may have waited behind the one before it on its connection.
-        not_after = (now if ask.arrived_ms is None else ask.arrived_ms) + within - self.margin
-        # From here on all times are the policy's: what the client's clock says is the margin's affair.
-        why = "unknown_class" if request_class is None else "ingress_full" if self.ledger.is_full() else ""
-        if why or not_after <= now + ENDING_MS:
-            # None of it is a decision about load: these can't be put to the policy at all.
-            self.reject(now, conn, ref, partner, ask, why or "too_late")
+        within = deadline if query.within_ms is None else min(query.within_ms, deadline)
+        # The time counts from the request's arrival: it may have waited behind an earlier one of its connection.
+        request_deadline = (now if query.arrived_ms is None else query.arrived_ms) + within - self.margin_ms
+        # From here on all times are those of this clock; the margin covers the way to the client.
+        reason = "unknown_class" if request_class is None else "ingress_full" if self.ledger.is_full() else ""
+        if reason or request_deadline <= now + ATTEMPT_END_MARGIN_MS:
+            # The policy decides about load; requests that it could not handle at all do not reach it.
+            self.reject(now, conn, ref, partner, query, reason or "too_late")
             return None
-        self.ledger.serial += 1
-        request_id = f"{self.boot}{self.ledger.serial:x}"
-        entry = Entry(request_id, conn, ref, ask.class_name, partner.name, ask.units, now, not_after, ask.payload)
-        self.ledger.take(entry)
-        self.call_at(not_after - ENDING_MS, self._deadline, entry)
-        event = i.Request(
-            request_id,
-            ask.class_name,
-            partner.plan,
-            partner.name,
-            not_after,
-            ask.units,
-            partner.gateway_count,
-            partner.first_gateway,
+        self.ledger.last_id += 1
+        request_id = f"{self.boot}{self.ledger.last_id:x}"
+        entry = Entry(
+            request_id, conn, ref, query.class_name, partner.name, query.units, now, request_deadline, query.payload
         )
-        self._tell(event, entry)
+        self.ledger.add(entry)
+        self.call_at(request_deadline - ATTEMPT_END_MARGIN_MS, self._deadline, entry)
+        event = interface.Request(
+            request_id, query.class_name, partner.plan, partner.name, request_deadline, query.units,
+            partner.gateway_count, partner.first_gateway,
+        )  # fmt: skip
+        self._notify_policy(event, entry)
         return request_id
 
     def client_left(self, now: float, conn: int) -> int:
-        """A connection ended: nobody waits for its requests; returns how many there were."""
+        """Drop the open requests of a connection that has ended; returns their number."""
         self.now = now
-        entries = self.ledger.of(conn)
+        entries = self.ledger.of_connection(conn)
         for entry in entries:
-            self._left(entry)
+            self._drop_request(entry)
         return len(entries)
 
-    def _left(self, entry: Entry) -> None:
-        """Nobody waits for a request: what is not on its way by now never goes out."""
+    def _drop_request(self, entry: Entry) -> None:
+        """Finish a request whose client has left; attempts that are not sent yet are withdrawn."""
         self.counts["left"] += 1
         self.ledger.finish(entry, LEFT)
         self.telemetry.answered(self.now, entry, "left", "")
         for attempt in entry.attempts:
             if not attempt.ended:
-                self.commands.append(c.WithdrawAttempt(attempt))
-        self._over(entry)
-        self._tell(i.Gone(entry.request_id))
+                self.commands.append(commands.WithdrawAttempt(attempt))
+        self._finish_trace(entry)
+        self._notify_policy(interface.Gone(entry.request_id))
 
-    def wanted(self, attempt: c.Attempt) -> bool:
-        """Whether somebody waits for an attempt's request, at this very instant."""
+    def wanted(self, attempt: commands.Attempt) -> bool:
+        """Whether a client still waits for an attempt's request."""
         entry = self.ledger.entries.get(attempt.request_id)
         return entry is not None and entry.state is not DONE and self.is_connected(entry.conn)
 
-    def answer_all(self, now: float, why: str) -> int:
-        """Answer all that is owed by what is known of it, since the ingress ends; returns how many there were."""
+    def answer_all(self, now: float, reason: str) -> int:
+        """Answer all open requests without the policy, before the ingress ends; returns their number."""
         self.now = now
-        owed = [e for e in self.ledger.entries.values() if e.state is not DONE]
-        for entry in owed:
-            self._answer_by_facts(entry, why)
-            self._tell(i.Gone(entry.request_id))
-        return len(owed)
+        unanswered = [e for e in self.ledger.entries.values() if e.state is not DONE]
+        for entry in unanswered:
+            self._answer_for_policy(entry, reason)
+            self._notify_policy(interface.Gone(entry.request_id))
+        return len(unanswered)
 
     def outcome(
-        self,
-        now: float,
-        attempt: c.Attempt,
-        result: i.Result,
-        body: Any = None,
-        *,
-        quota_used: int = 0,
-        cost: float = 0.0,
-        load: dict[str, float] | None = None,
-    ) -> None:
-        """An attempt ended. The first good one is the request's final answer; the policy hears of each."""
+        self, now: float, attempt: commands.Attempt, result: interface.Result, body: Any = None, *,
+        quota_used: int = 0, cost: float = 0.0, load: dict[str, float] | None = None,
+    ) -> None:  # fmt: skip
+        """Record the end of an attempt and report it to the policy. The first success is the final answer."""
         self.now = now
         entry = self.ledger.entries.get(attempt.request_id)
         if entry is None or attempt.ended:
@@ -214,190 +213,215 @@
         self.telemetry.attempted(now, attempt, result.value)
         self.ledger.ended(entry, attempt, result.never_ran)
         if entry.state is DONE:
-            self._over(entry)
-        if result is i.Result.OK and entry.state is not DONE:
-            self._answer(entry, c.AnswerKind.SERVED, body)
-        event = i.Outcome(
+            self._finish_trace(entry)
+        if result is interface.Result.OK and entry.state is not DONE:
+            self._answer(entry, commands.AnswerKind.SERVED, body)
+        event = interface.Outcome(
             attempt.request_id, attempt.number, attempt.node, result, now - attempt.sent_ms, entry.state is DONE,
             quota_used, cost, load,
         )  # fmt: skip
-        self._tell(event, entry)
+        self._notify_policy(event, entry)
 
-    def members(self, now: float, scope: i.Scope, servers: tuple[i.Server, ...] = ()) -> None:
+    def members(self, now: float, scope: interface.Scope, servers: tuple[interface.Server, ...] = ()) -> None:
+        """Report an update of the node list to the policy."""
         self.now = now
-        self._tell(i.Members(scope, servers))
+        self._notify_policy(interface.Members(scope, servers))
 
     def peer_message(self, now: float, source: int, text: str) -> None:
+        """Report a message of another ingress to the policy."""
         self.now = now
-        self._tell(i.PeerMessage(source, text))
+        self._notify_policy(interface.PeerMessage(source, text))
 
-    def counted(self, now: float, name: int, result: i.Result, value: float, spent_ms: float) -> None:
+    def counted(self, now: float, name: int, result: interface.Result, value: float, spent_ms: float) -> None:
+        """Report the end of a counter call to the policy."""
         self.now = now
-        self._tell(i.Counted(name, result, value, spent_ms))
+        self._notify_policy(interface.Counted(name, result, value, spent_ms))
 
-    def part(self, now: float, part: i.Part) -> None:
-        """What this ingress may spend of a partner's ceiling is another amount."""
+    def update_share(self, now: float, share: interface.Part) -> None:
+        """Report another leased share of a partner's ceiling to the policy."""
         self.now = now
-        self._tell(part)
+        self._notify_policy(share)
 
     def probed(
-        self, now: float, server: str, result: i.Result, spent_ms: float, load: dict[str, float] | None = None
+        self, now: float, node: str, result: interface.Result, spent_ms: float, load: dict[str, float] | None = None
     ) -> None:
+        """Report the end of a probe to the policy."""
         self.now = now
-        self._tell(i.Probed(server, result, spent_ms, load))
+        self._notify_policy(interface.Probed(node, result, spent_ms, load))
 
     # --- the policy ------------------------------------------------------------------------------
 
-    def _tell(self, event: i.Event, entry: Entry | None = None) -> None:
-        """Put an event to the policy and carry out its answer. If it raises, the request at hand still gets
-        its one answer; others that it may have forgotten get theirs at their deadline."""
+    def _notify_policy(self, event: interface.Event, entry: Entry | None = None) -> None:
+        """Pass an event to the policy and carry out its actions. If the policy raises, the event's request is
+        answered here; other requests that the policy may have lost are answered at their deadline."""
         try:
             actions = self.policy.handle(self.now, event)
-        except Exception as error:  # noqa: BLE001 - whatever it raised, the ingress goes on
-            self._fault(error, type(event).__name__)
-            if entry is not None and entry.state is not DONE and not entry.out:
-                self._answer_by_facts(entry, "fault")
-            if isinstance(event, i.Timer):
-                # The policy's clockwork hangs on its timers: a lost tick would stop it for good.
+        except Exception as error:  # noqa: BLE001 - a fault of the policy must not end the ingress
+            self._log_fault(error, type(event).__name__)
+            if entry is not None and entry.state is not DONE and not entry.in_flight:
+                self._answer_for_policy(entry, "fault")
+            if isinstance(event, interface.Timer):
+                # The policy sets its next timer when one expires: a lost one would stop its periodic work.
                 self.call_at(self.now + FAULT_PAUSE_MS, self._timer, event.ref)
             return
         if actions:
             self._carry_out(actions)
 
-    def _carry_out(self, actions: list[i.Action]) -> None:
+    def _carry_out(self, actions: list[interface.Action]) -> None:
         for action in actions:
-            self.carry[type(action)](action)
+            self.handlers[type(action)](action)
 
-    def _fault(self, error: Exception, where: str) -> None:
+    def _log_fault(self, error: Exception, event_name: str) -> None:
         self.faults += 1
         self.counts["faults"] += 1
         last = traceback.extract_tb(error.__traceback__)[-1:]
         place = f"{last[0].name}:{last[0].lineno}" if last else ""
-        fields = {"event": where, "error": f"{type(error).__name__}: {error}"[:300], "at": place}
-        self.commands.append(c.LogEvent("error", "policy_fault", fields))
+        fields = {"event": event_name, "error": f"{type(error).__name__}: {error}"[:300], "at": place}
+        self.commands.append(commands.LogEvent("error", "policy_fault", fields))
 
-    def _send(self, action: i.Send) -> None:
+    def _send(self, action: interface.Send) -> None:
         entry = self.ledger.entries.get(action.id)
         if entry is None:
-            self._odd("send", action.id)
+            self._log_unexpected_action("send", action.id)
             return
-        n, until = len(entry.attempts), min(action.until_ms or entry.not_after, entry.not_after - ENDING_MS)
-        attempt = c.Attempt(entry.request_id, n, action.server, self.now, until, entry.payload, entry.class_name)
+        number = len(entry.attempts)
+        until = min(action.until_ms or entry.deadline_ms, entry.deadline_ms - ATTEMPT_END_MARGIN_MS)
+        attempt = commands.Attempt(
+            entry.request_id, number, action.server, self.now, until, entry.payload, entry.class_name
+        )
         limits = self.settings.limits
-        twice = entry.out and not limits.parallel_attempts
-        gone = entry.state is not DONE and not self.is_connected(entry.conn)
-        if gone or entry.state is DONE or n >= limits.max_attempts or until <= self.now or twice:
-            # Not to be carried out: it ends as never sent, told apart from this answer, as on the bench.
-            if gone:
-                self._left(entry)
+        is_forbidden_parallel = entry.in_flight and not limits.parallel_attempts
+        client_left = entry.state is not DONE and not self.is_connected(entry.conn)
+        if (
+            client_left or entry.state is DONE or number >= limits.max_attempts or until <= self.now
+            or is_forbidden_parallel
+        ):  # fmt: skip
+            # The attempt is not sent. Its outcome is reported in an event of its own, as in the simulator.
+            if client_left:
+                self._drop_request(entry)
             else:
-                self._odd("send", action.id)
+                self._log_unexpected_action("send", action.id)
             entry.attempts.append(attempt)
-            attempt.ended, attempt.result, attempt.ended_ms = True, i.Result.SUPERSEDED.value, self.now
-            self.call_at(self.now, self._moot, attempt)
+            attempt.ended, attempt.result, attempt.ended_ms = True, interface.Result.SUPERSEDED.value, self.now
+            self.call_at(self.now, self._report_superseded, attempt)
             return
         self.ledger.send(entry, attempt)
         self.counts["attempts"] += 1
-        if until < entry.not_after - ENDING_MS:  # at its deadline the request ends its attempts itself
+        if until < entry.deadline_ms - ATTEMPT_END_MARGIN_MS:  # else ``_deadline`` ends it
             self.call_at(until, self._expire, attempt)
-        self.commands.append(c.SendAttempt(attempt))
+        self.commands.append(commands.SendAttempt(attempt))
 
-    def _moot(self, attempt: c.Attempt) -> None:
+    def _report_superseded(self, attempt: commands.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.request_id)
         settled = entry is None or entry.state is DONE
-        self._tell(
-            i.Outcome(attempt.request_id, attempt.number, attempt.node, i.Result.SUPERSEDED, 0.0, settled), entry
-        )
+        self._notify_policy(
+            interface.Outcome(
+                attempt.request_id, attempt.number, attempt.node, interface.Result.SUPERSEDED, 0.0, settled
+            ), entry,
+        )  # fmt: skip
 
-    def _refuse(self, action: i.Refuse) -> None:
-        entry = self._open_entry(action.id, "refuse")
+    def _refuse(self, action: interface.Refuse) -> None:
+        entry = self._unanswered_entry(action.id, "refuse")
         if entry is not None:
             self.refusals[action.reason or "policy"] += 1
-            self._answer(entry, c.AnswerKind.REFUSED, why=action.reason or "policy", retry=action.retry_after_ms)
+            self._answer(
+                entry, commands.AnswerKind.REFUSED, reason=action.reason or "policy",
+                retry_after_ms=action.retry_after_ms,
+            )  # fmt: skip
 
-    def _fail(self, action: i.Fail) -> None:
-        entry = self._open_entry(action.id, "fail")
+    def _fail(self, action: interface.Fail) -> None:
+        entry = self._unanswered_entry(action.id, "fail")
         if entry is not None:
-            self._answer(entry, c.AnswerKind.FAILED, why="attempts")
+            self._answer(entry, commands.AnswerKind.FAILED, reason="attempts")
 
-    def _cancel(self, action: i.Cancel) -> None:
+    def _cancel(self, action: interface.Cancel) -> None:
         entry = self.ledger.entries.get(action.id)
         if entry is None or not 0 <= action.attempt < len(entry.attempts):
-            self._odd("cancel", action.id)
+            self._log_unexpected_action("cancel", action.id)
         elif not entry.attempts[action.attempt].ended:
-            self.commands.append(c.CancelAttempt(entry.attempts[action.attempt]))
+            self.commands.append(commands.CancelAttempt(entry.attempts[action.attempt]))
 
-    def _set_timer(self, action: i.SetTimer) -> None:
+    def _set_timer(self, action: interface.SetTimer) -> None:
         when = self.now + max(0.0, action.after_ms)
-        self.call_at(ceil(when / STEP_MS) * STEP_MS, self._timer, action.ref)
+        self.call_at(ceil(when / TIMER_STEP_MS) * TIMER_STEP_MS, self._timer, action.ref)
 
     def _timer(self, ref: int) -> None:
-        self._tell(i.Timer(ref))
+        self._notify_policy(interface.Timer(ref))
 
-    def _open_entry(self, request_id: str, what: str) -> Entry | None:
-        """The entry that an answer is for; a second answer has none, and is dropped and counted."""
+    def _unanswered_entry(self, request_id: str, action_name: str) -> Entry | None:
+        """The entry of a request that waits for its answer; None for a second answer, which is counted."""
         entry = self.ledger.entries.get(request_id)
         if entry is None or entry.state is DONE:
-            self._odd(what, request_id)
+            self._log_unexpected_action(action_name, request_id)
             return None
         return entry
 
-    def _odd(self, what: str, request_id: str) -> None:
-        self.counts[f"odd_{what}"] += 1
-        self.commands.append(c.LogEvent("warning", "odd_action", {"action": what, "request": request_id}))
+    def _log_unexpected_action(self, action_name: str, request_id: str) -> None:
+        self.counts[f"odd_{action_name}"] += 1
+        self.commands.append(
+            commands.LogEvent("warning", "odd_action", {"action": action_name, "request": request_id})
+        )
 
     # --- answers ---------------------------------------------------------------------------------
 
-    def _answer(self, entry: Entry, kind: str, body: Any = None, why: str = "", retry: float = 0.0) -> None:
+    def _answer(
+        self, entry: Entry, kind: str, body: Any = None, reason: str = "", retry_after_ms: float = 0.0
+    ) -> None:
         self.counts[kind] += 1
         self.ledger.finish(entry, ANSWER)
-        self.commands.append(c.Answer(entry.conn, entry.ref, kind, body, why, retry, entry.request_id))
-        self.telemetry.answered(self.now, entry, kind, why)
-        self._over(entry)
-
-    def _over(self, entry: Entry) -> None:
-        """Nothing more comes of a finished request once its last attempt is back."""
-        if entry.pending_trace is not None and not entry.out:
-            remark = self.telemetry.over(self.now, entry)
+        self.commands.append(
+            commands.Answer(entry.conn, entry.ref, kind, body, reason, retry_after_ms, entry.request_id)
+        )
+        self.telemetry.answered(self.now, entry, kind, reason)
+        self._finish_trace(entry)
+
+    def _finish_trace(self, entry: Entry) -> None:
+        """Complete the trace of a finished request whose last attempt has ended."""
+        if entry.pending_trace is not None and not entry.in_flight:
+            event = self.telemetry.request_finished(self.now, entry)
             entry.pending_trace = None
-            if remark is not None:
-                self.commands.append(remark)
+            if event is not None:
+                self.commands.append(event)
 
     def reject(
-        self, now: float, conn: int, ref: Any, partner: Partner, ask: Query, why: str, retry: float = 0.0
-    ) -> None:
-        """Answer a request that is not taken: it never comes before the policy."""
+        self, now: float, conn: int, ref: Any, partner: Partner, query: Query, reason: str,
+        retry_after_ms: float = 0.0,
+    ) -> None:  # fmt: skip
+        """Refuse a request before it is accepted; the policy is not asked."""
         self.now = now
-        self.telemetry.request_rejected(self.now, partner.name, ask.units, why)
-        self.counts[c.AnswerKind.REFUSED] += 1
-        self.refusals[why] += 1
-        self.commands.append(c.Answer(conn, ref, c.AnswerKind.REFUSED, None, why, retry))
-
-    def _answer_by_facts(self, entry: Entry, why: str) -> None:
-        """The answer where the policy gave none: a refusal is true only if no attempt can have run."""
-        ran = entry.may_have_run or any(not a.ended for a in entry.attempts)
-        if not ran:
-            self.refusals[why] += 1
-        self._answer(entry, c.AnswerKind.FAILED if ran else c.AnswerKind.REFUSED, why=why)
-
-    def _expire(self, attempt: c.Attempt) -> None:
+        self.telemetry.request_rejected(self.now, partner.name, query.units, reason)
+        self.counts[commands.AnswerKind.REFUSED] += 1
+        self.refusals[reason] += 1
+        self.commands.append(commands.Answer(conn, ref, commands.AnswerKind.REFUSED, None, reason, retry_after_ms))
+
+    def _answer_for_policy(self, entry: Entry, reason: str) -> None:
+        """Answer a request that the policy did not answer: it is refused only if no attempt can have run."""
+        may_have_run = entry.may_have_run or any(not a.ended for a in entry.attempts)
+        if not may_have_run:
+            self.refusals[reason] += 1
+        self._answer(
+            entry, commands.AnswerKind.FAILED if may_have_run else commands.AnswerKind.REFUSED, reason=reason
+        )
+
+    def _expire(self, attempt: commands.Attempt) -> None:
         if not attempt.ended:
-            self.commands.append(c.ExpireAttempt(attempt))
+            self.commands.append(commands.ExpireAttempt(attempt))
 
     def _deadline(self, entry: Entry) -> None:
-        """The client's time is up: what is out has timed out, which the policy answers; if it does not, the
-        facts do. Where the client left before, what is still out ends too: a silent server would hold its place."""
+        """Expire the attempts in flight at the request's deadline, whose outcomes the policy answers; without an
+        answer of the policy the request is answered here. Attempts of a client that left end as well: those to a
+        silent node would hold their capacity."""
         waiting = [a for a in entry.attempts if not a.ended]
         for attempt in waiting:
-            self.commands.append(c.ExpireAttempt(attempt))
+            self.commands.append(commands.ExpireAttempt(attempt))
         if entry.state is DONE:
             return
-        # After those have come back: the commands before this one are carried out first.
+        # The commands above are carried out, and the outcomes reported, before this timer runs.
         self.call_at(self.now, self._overdue, entry) if waiting else self._overdue(entry)
 
     def _overdue(self, entry: Entry) -> None:
         if entry.state is DONE:
             return
         self.counts["overdue"] += 1
-        self._answer_by_facts(entry, "overdue")
-        self._tell(i.Gone(entry.request_id))
+        self._answer_for_policy(entry, "overdue")
+        self._notify_policy(interface.Gone(entry.request_id))
--- a/rushweir/ingress/ledger.py
+++ b/rushweir/ingress/ledger.py
@@ -1,18 +1,19 @@
-"""The ledger of an ingress: each request taken, its attempts, its one final answer. No I/O, no clock.
+"""The ledger of an ingress: each accepted request, its attempts and its one final answer. No I/O, no clock.
 
-A request is a small state machine, as in h11's ``_state.py``: the table below is the whole of it, and a step
-that it does not list raises LedgerError, whatever asked for it.
+A request is a small state machine, in the manner of h11's ``_state.py``. ``TRANSITIONS`` has all its transitions; any
+other raises LedgerError, whoever asked for it.
 
-    held ----send----> out ----ended----> held         (the last attempt out came back without an answer)
+    held ----send----> out ----ended----> held         (the last attempt in flight ended without an answer)
       |                 |
-      +--answer / left--+----> done ---> (dropped when its last attempt is back)
+      +--answer / left--+----> done ---> (dropped when its last attempt has ended)
 
-An attempt is out until its one Outcome. Attempts may outlive the request: their outcomes are still told to
-the policy, which keeps count of what is in flight, but nothing more goes to the client.
+An attempt is in flight until its one outcome. Attempts may outlive their request: the policy, which counts what is in
+flight, still gets their outcomes, but nothing more is sent to the client.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import Any
 
 from rushweir.ingress.commands import Attempt
@@ -20,10 +21,10 @@
 HELD, OUT, DONE = "held", "out", "done"
 SEND, ENDED, ANSWER, LEFT = "send", "ended", "answer", "left"
 
-STEPS = {
+TRANSITIONS = {
     (HELD, SEND): OUT,
-    (OUT, SEND): OUT,  # a second copy, where the settings allow one
-    (OUT, ENDED): HELD,  # the last one out; while others are out the state stays
+    (OUT, SEND): OUT,  # a parallel attempt, where the settings allow one
+    (OUT, ENDED): HELD,  # the last attempt in flight; while there are others the state stays
     (HELD, ANSWER): DONE,
     (OUT, ANSWER): DONE,
     (HELD, LEFT): DONE,
@@ -32,88 +33,94 @@
 
 
 class LedgerError(Exception):
-    """A step that the request's state does not allow."""
+    """A transition that the request's state does not allow."""
 
 
+@dataclass(slots=True, eq=False)
 class Entry:
-    """One request taken, and all that is known of it."""
-
-    __slots__ = (
-        "attempts", "conn", "pending_trace", "customer", "class_name", "may_have_run", "method", "not_after", "out",
-        "payload", "ref", "request_id", "state", "taken", "units",
-    )  # fmt: skip
-
-    def __init__(
-        self, request_id: str, conn: int, ref: Any, class_name: str, customer: str, units: float, taken: float,
-        not_after: float, payload: dict[str, Any],
-    ) -> None:  # fmt: skip
-        self.request_id, self.conn, self.ref = request_id, conn, ref
-        self.class_name, self.customer = class_name, customer
-        self.units, self.taken, self.not_after, self.payload = units, taken, not_after, payload
-        self.state = HELD
-        self.pending_trace: Any = None  # what the watch wants noted of it when its last attempt is back
-        self.attempts: list[Attempt] = []
-        self.out = 0  # attempts without an outcome
-        self.may_have_run = False  # some attempt ended in a way that does not prove the opposite
+    """One accepted request and all that is known of it."""
+
+    request_id: str
+    conn: int
+    ref: Any  # the front's own reference to the request
+    class_name: str
+    partner: str
+    units: float
+    accepted_ms: float
+    deadline_ms: float
+    payload: dict[str, Any]
+    state: str = HELD
+    pending_trace: Any = None  # what the telemetry records once the last attempt has ended
+    attempts: list[Attempt] = field(default_factory=list)
+    in_flight: int = 0  # attempts without an outcome
+    may_have_run: bool = False  # whether an attempt ended in a way that does not prove that it never ran
 
     def step(self, event: str) -> None:
+        """Change the state by an event. Raises LedgerError if the state does not allow it."""
         try:
-            self.state = STEPS[self.state, event]
+            self.state = TRANSITIONS[self.state, event]
         except KeyError:
             raise LedgerError(f"request {self.request_id}: {event} while {self.state}") from None
 
 
 class Ledger:
-    """The requests of one ingress that are owed an answer or have attempts out; ``most`` bounds the former."""
+    """The requests of one ingress that wait for an answer or have attempts in flight.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.entries: dict[str, Entry] = {}
-        self.by_conn: dict[int, dict[str, Entry]] = {}
+    ``max_open_requests`` bounds those that wait for an answer.
+    """
+
+    def __init__(self, max_open_requests: int) -> None:
+        self.max_open_requests = max_open_requests
+        self.entries: dict[str, Entry] = {}  # by request id
+        self.by_connection: dict[int, dict[str, Entry]] = {}  # those that wait for an answer
         self.unanswered = 0
-        self.serial = 0
+        self.last_id = 0
 
     def is_full(self) -> bool:
-        return self.unanswered >= self.most
+        """Whether no more requests may be accepted."""
+        return self.unanswered >= self.max_open_requests
 
-    def take(self, entry: Entry) -> None:
+    def add(self, entry: Entry) -> None:
+        """Record an accepted request."""
         self.entries[entry.request_id] = entry
-        self.by_conn.setdefault(entry.conn, {})[entry.request_id] = entry
+        self.by_connection.setdefault(entry.conn, {})[entry.request_id] = entry
         self.unanswered += 1
 
     def send(self, entry: Entry, attempt: Attempt) -> None:
+        """Record that an attempt is sent."""
         entry.step(SEND)
         entry.attempts.append(attempt)
-        entry.out += 1
+        entry.in_flight += 1
 
     def ended(self, entry: Entry, attempt: Attempt, never_ran: bool) -> None:
-        """Note an attempt's one outcome; a second one is a fault of the caller and raises."""
+        """Record an attempt's one outcome. Raises LedgerError at a second one."""
         if attempt.ended:
             raise LedgerError(f"request {entry.request_id}: attempt {attempt.number} ended twice")
         attempt.ended = True
-        entry.out -= 1
+        entry.in_flight -= 1
         entry.may_have_run |= not never_ran
         if entry.state is DONE:
             self.drop(entry)
-        elif not entry.out:
+        elif not entry.in_flight:
             entry.step(ENDED)
 
     def finish(self, entry: Entry, event: str) -> None:
-        """The final answer was given, or the client left; the entry stays for the attempts still out."""
+        """Record that the final answer was given, or that the client left. Attempts in flight keep the entry."""
         entry.step(event)
         self.unanswered -= 1
-        mine = self.by_conn.get(entry.conn)
-        if mine is not None:
-            mine.pop(entry.request_id, None)
-            if not mine:
-                del self.by_conn[entry.conn]
+        of_connection = self.by_connection.get(entry.conn)
+        if of_connection is not None:
+            of_connection.pop(entry.request_id, None)
+            if not of_connection:
+                del self.by_connection[entry.conn]
         entry.payload = {}
         self.drop(entry)
 
     def drop(self, entry: Entry) -> None:
-        if entry.state is DONE and not entry.out:
+        """Forget a finished request without attempts in flight."""
+        if entry.state is DONE and not entry.in_flight:
             self.entries.pop(entry.request_id, None)
 
-    def of(self, conn: int) -> list[Entry]:
-        """The requests of one connection that are owed an answer, oldest first."""
-        return list(self.by_conn.get(conn, {}).values())
+    def of_connection(self, conn: int) -> list[Entry]:
+        """The requests of one connection that wait for an answer, oldest first."""
+        return list(self.by_connection.get(conn, {}).values())
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -112,7 +112,7 @@
                 part = i.Part(
                     whose, x.share.rate / UNIT, x.share.burst / UNIT, x.added_tokens / UNIT, bool(x.retained_key)
                 )
-                core.engine.part(core.now, part)
+                core.engine.update_share(core.now, part)
                 if self.told:
                     fields = {
                         "process": f"{self.fleet.me:016x}", "place": "{}:{}".format(*self.fleet.settings.address),
@@ -132,7 +132,7 @@
         return replace(settings, present_gateways=tuple(sorted(n for n, s in seats.items() if s.state == ACTIVE)))
 
     def _present(self, core: Core) -> None:
-        core.engine.adopt(core.now, self.among(core.setup.settings), core.engine.margin)
+        core.engine.apply_settings(core.now, self.among(core.setup.settings), core.engine.margin_ms)
 
     def _peers(self, core: Core) -> None:
         seats = self.fleet.view.slots
--- a/rushweir/ingress/queries.py
+++ b/rushweir/ingress/queries.py
@@ -1,4 +1,4 @@
-"""What a front makes of a client's bytes: a request, and whose it is. Plain records."""
+"""Requests as a front parsed them, and the partners they come from."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """A customer as its requests are told to the policy: where its plan's quota is counted."""
+    """A customer: its name, its plan, and the gateways over which its quota is counted."""
 
     name: str
     plan: str
-    gateway_count: int = 1  # ingresses that its requests may arrive through ...
-    first_gateway: int = 0  # ... counted round from this one
+    gateway_count: int = 1  # its requests may arrive through so many ingresses ...
+    first_gateway: int = 0  # ... whose numbers follow this one
 
 
 @dataclass(slots=True)  # not frozen: one is made for each request, and freezing triples its cost
 class Query:
-    """A request as a front understood it."""
+    """A client's request as a front parsed it."""
 
     class_name: str
-    payload: Any  # what goes to the node, in the form of its front and pool
-    within_ms: float | None = None  # how long the client says that it waits; None: the class's deadline
+    payload: Any  # what the node gets, in the form that the front and the pool agree on
+    within_ms: float | None = None  # how long the client waits; None: until the deadline of the class
     units: float = 1.0
-    partner: Partner | None = None  # whose it is, where that is not the connection's affair
-    arrived_ms: float | None = None  # when it came, where it waited for the one before it; None: now
+    partner: Partner | None = None  # None: the partner of the connection
+    arrived_ms: float | None = None  # when it was read, if it waited behind an earlier request; None: now
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -87,7 +87,9 @@
                 quota.refill(c, now)
                 if core.fleet is not None:
                     let_go(core.fleet.budgets, name)
-                    core.engine.part(now, i.Part(name, 0.0, 0.0))  # until the next request says what it has now
+                    core.engine.update_share(
+                        now, i.Part(name, 0.0, 0.0)
+                    )  # until the next request says what it has now
                 c.gateway_range = partner.first_gateway, partner.gateway_count
                 c.gateway_count, c.owners = quota.gateways_and_owners(c.key, *c.gateway_range)
                 quota.refill(c, now)  # no more than the new part's burst
@@ -101,7 +103,7 @@
         core._at(now)
         core.setup = self
         settings = self.settings if core.fleet is None else core.fleet.among(self.settings)
-        core.engine.adopt(now, settings, self.margin_ms)
+        core.engine.apply_settings(now, settings, self.margin_ms)
         core.load_shedder.adopt(self.late_ms, self.max_late_ms)
         core._value_classes()
         core.telemetry.usage.know(self.partners())
--- a/rushweir/watch/telemetry.py
+++ b/rushweir/watch/telemetry.py
@@ -71,8 +71,8 @@
 
     def answered(self, now: float, entry: Entry, kind: str, why: str) -> None:
         """A request has its final answer, or its client left."""
-        took = now - entry.taken
-        self.usage.count(now, entry.customer, kind, entry.units)
+        took = now - entry.accepted_ms
+        self.usage.count(now, entry.partner, kind, entry.units)
         self.history.answered(now, kind, why, took)
         counts = self.classes.get(entry.class_name)
         if counts is not None:
@@ -103,12 +103,12 @@
         if result not in GOOD:
             self.history.bad_attempts += 1
 
-    def over(self, now: float, entry: Entry) -> LogEvent | None:
+    def request_finished(self, now: float, entry: Entry) -> LogEvent | None:
         """A request whose course is kept has its last attempt back; returns the line for the log, if any."""
         ring, kind, why, ended = entry.pending_trace
         attempts = tuple(
             {
-                "number": a.number, "node": a.node, "after_ms": round(a.sent_ms - entry.taken, 2),
+                "number": a.number, "node": a.node, "after_ms": round(a.sent_ms - entry.accepted_ms, 2),
                 "result": a.result, "took_ms": round(a.ended_ms - a.sent_ms, 2),
             }
             for a in entry.attempts
@@ -119,8 +119,8 @@
             client_id,
             entry.conn,
             entry.class_name,
-            entry.customer,
-            entry.taken,
+            entry.partner,
+            entry.accepted_ms,
             ended,
             kind,
             why,
@@ -135,7 +135,7 @@
             "warning", "request_failed",
             {
                 "request": entry.request_id, "connection": entry.conn, "class": entry.class_name,
-                "partner": entry.customer, "why": why,
+                "partner": entry.partner, "why": why,
                 "attempts": [f"{a['number']}:{a['node']}:{a['result']}" for a in attempts],
             },
         )  # fmt: skip
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -11,7 +11,7 @@
 
 from rushweir.edge.backends import REST_MS
 from rushweir.ingress import commands as c
-from rushweir.ingress.engine import ENDING_MS
+from rushweir.ingress.engine import ATTEMPT_END_MARGIN_MS
 from tests.edge.conftest import LIST, SETTINGS, Edge, answer, booking, request
 
 WITHIN = 1_500  # ms, by every request here
@@ -204,7 +204,7 @@
     found = [pair for rid in edge.came for pair in edge.told(rid)]
     assert max(len(edge.told(rid)) for rid in edge.came) == attempts and found
     for left, told in found:
-        assert left - MARGIN_MS - ENDING_MS - 1 <= told <= left
+        assert left - MARGIN_MS - ATTEMPT_END_MARGIN_MS - 1 <= told <= left
 
 
 def silent_backends(edge):
--- a/tests/ingress/test_engine.py
+++ b/tests/ingress/test_engine.py
@@ -196,7 +196,7 @@
 def test_the_ledger_refuses_steps_that_it_does_not_know():
     ledger = Ledger(5)
     entry = Entry("r", 1, None, "look", "c", 1.0, 0.0, 10.0, {})
-    ledger.take(entry)
+    ledger.add(entry)
     attempt = c.Attempt("r", 0, "n", 0.0, 10.0, {}, "look")
     ledger.send(entry, attempt)
     ledger.ended(entry, attempt, False)
@@ -206,7 +206,7 @@
     for step in ("answer", "left", "send"):
         with pytest.raises(LedgerError):
             entry.step(step)
-    assert not ledger.entries and not ledger.by_conn
+    assert not ledger.entries and not ledger.by_connection
 
 
 RESULTS = list(i.Result)
@@ -276,4 +276,4 @@
     collect()
     assert all(len(found) == 1 for found in answers.values())
     assert {*answers} | left == set(conn_of) and not {*answers} & left
-    assert not engine.ledger.entries and not engine.ledger.by_conn and engine.ledger.unanswered == 0
+    assert not engine.ledger.entries and not engine.ledger.by_connection and engine.ledger.unanswered == 0
--- a/tests/ingress/test_own_overload.py
+++ b/tests/ingress/test_own_overload.py
@@ -52,6 +52,6 @@
         await p.start()
         hold_up(p, 60.0, 15)
         await p.until(lambda: p.core.load_shedder.delay_ms > 20)
-        assert p.core.engine.margin >= p.core.setup.margin_ms + 20
+        assert p.core.engine.margin_ms >= p.core.setup.margin_ms + 20
 
     place(body)
--- a/tests/watch/test_watch.py
+++ b/tests/watch/test_watch.py
@@ -165,7 +165,7 @@
         entry.attempts.append(attempt)
         watch.attempted(took, attempt, result)
     watch.answered(took, entry, kind, why)
-    return watch.over(took, entry) if entry.pending_trace else None
+    return watch.request_finished(took, entry) if entry.pending_trace else None
 
 
 def test_a_failure_is_logged_with_its_attempts_and_found():
