--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -20,8 +20,9 @@
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
-from rushweir.ingress.engine import DecisionPolicy, Engine
+from rushweir.ingress.engine import Engine
 from rushweir.ingress.known_nodes import KnownNodes
+from rushweir.ingress.protocols import DecisionPolicy
 from rushweir.ingress.setup import Components, Setup
 from rushweir.overload.decisions import SAMPLE_INTERVAL_MS, LoadShedder
 from rushweir.watch.telemetry import Telemetry
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -15,11 +15,12 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 from math import ceil
-from typing import Any, Protocol
+from typing import Any
 
 from rushweir import interface
 from rushweir.ingress import commands
 from rushweir.ingress.ledger import ANSWER, DONE, LEFT, Entry, Ledger
+from rushweir.ingress.protocols import DecisionPolicy, RequestObserver
 from rushweir.ingress.queries import Partner, Query
 
 ATTEMPT_END_MARGIN_MS = 5.0  # attempts end this long before their request's deadline, so that the policy can answer
@@ -27,39 +28,13 @@
 FAULT_PAUSE_MS = 100.0  # a timer whose handling raised is repeated after this time
 
 
-class DecisionPolicy(Protocol):
-    """What the engine needs of a policy; ``rushweir.interface`` has the contract."""
-
-    def start(self) -> list[interface.Action]: ...
-
-    def handle(self, now_ms: float, event: interface.Event) -> list[interface.Action]: ...
-
-
-class RequestObserver(Protocol):
-    """Observes requests without a part in them; ``watch/telemetry.py`` implements it."""
-
-    def answered(self, now: float, entry: Entry, kind: str, reason: str) -> None: ...
-
-    def request_rejected(self, now: float, partner: str, units: float, reason: str) -> None: ...
-
-    def attempted(self, now: float, attempt: commands.Attempt, result: str) -> None: ...
-
-    def request_finished(self, now: float, entry: Entry) -> commands.LogEvent | None: ...
-
-
 class Engine:
     """Runs the policy of one ingress. The caller carries out ``commands`` in order after each call."""
 
     def __init__(
-        self,
-        settings: interface.Settings,
-        policy: DecisionPolicy,
-        now: float,
-        *,
-        margin_ms: float = 0.0,
-        boot: str = "",
-        telemetry: RequestObserver,
-    ) -> None:
+        self, settings: interface.Settings, policy: DecisionPolicy, now: float, *,
+        margin_ms: float = 0.0, boot: str = "", telemetry: RequestObserver,
+    ) -> None:  # fmt: skip
         """``margin_ms`` is subtracted from the time that each client waits, so that the answer arrives in time;
         ``boot`` is a prefix of request ids that tells them from those of earlier runs."""
         self.settings = settings
@@ -314,11 +289,9 @@
     def _report_superseded(self, attempt: commands.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.request_id)
         settled = entry is None or entry.state is DONE
-        self._notify_policy(
-            interface.Outcome(
-                attempt.request_id, attempt.number, attempt.node, interface.Result.SUPERSEDED, 0.0, settled
-            ), entry,
-        )  # fmt: skip
+        result = interface.Result.SUPERSEDED
+        outcome = interface.Outcome(attempt.request_id, attempt.number, attempt.node, result, 0.0, settled)
+        self._notify_policy(outcome, entry)
 
     def _refuse(self, action: interface.Refuse) -> None:
         entry = self._unanswered_entry(action.id, "refuse")
