--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -20,8 +20,9 @@
 from rushweir.fronts.states import CLOSING, HEAD, HTTP
 from rushweir.ingress import commands as c
 from rushweir.ingress.clients import Clients
-from rushweir.ingress.engine import DecisionPolicy, Engine
+from rushweir.ingress.engine import Engine
 from rushweir.ingress.known_nodes import KnownNodes
+from rushweir.ingress.protocols import DecisionPolicy
 from rushweir.ingress.setup import Components, Setup
 from rushweir.overload.decisions import SAMPLE_INTERVAL_MS, LoadShedder
 from rushweir.watch.telemetry import Telemetry
@@ -57,7 +58,7 @@
             c.Answer: self.clients.answer,
             c.SendPeerMessage: self._tell_peer,
             c.CallCounter: self._call_counter,
-            c.ProbeNode: lambda x: self.pool.probe(self.now, x.server),
+            c.ProbeNode: lambda x: self.pool.probe(self.now, x.node),
             c.WatchList: lambda x: self.list.watch(self.now, x.on) if self.list else self._no_list(),
             c.FetchList: lambda x: self.list.fetch(self.now) if self.list else self._no_list(),
             c.LogEvent: self.log_event,
@@ -108,7 +109,7 @@
     def _beat(self, planned: float) -> None:
         """How late this turn comes shows how short of CPU the process is; what is taken is due the earlier."""
         self.load_shedder.record_delay(self.now - planned)
-        self.engine.margin = self.setup.margin_ms + self.load_shedder.delay_ms
+        self.engine.margin_ms = self.setup.margin_ms + self.load_shedder.delay_ms
         history = self.telemetry.history
         history.worst_delay = max(history.worst_delay, self.load_shedder.delay_ms)
         if (level := self.load_shedder.level) != self.level:
@@ -241,7 +242,7 @@
         self._at(now)
         self.setup = setup
         settings = setup.settings if self.fleet is None else self.fleet.among(setup.settings)
-        self.engine.adopt(now, settings, setup.margin_ms)
+        self.engine.apply_settings(now, settings, setup.margin_ms)
         self.load_shedder.adopt(setup.late_ms, setup.max_late_ms)
         self._value_classes()
         self.telemetry.usage.know(setup.partners())
@@ -274,10 +275,16 @@
                 for end in ended:
                     if isinstance(end, c.AttemptEnded):
                         engine.outcome(
-                            self.now, end.attempt, end.result, end.body, used=end.used, cost=end.cost, load=end.load
+                            self.now,
+                            end.attempt,
+                            end.result,
+                            end.body,
+                            quota_used=end.quota_used,
+                            cost=end.cost,
+                            load=end.load,
                         )
                     else:
-                        engine.probed(self.now, end.server, end.result, end.spent_ms, end.load)
+                        engine.probed(self.now, end.node, end.result, end.spent_ms, end.load)
                 continue
             if counter is not None and counter.ended:
                 calls, counter.ended = counter.ended, []
@@ -336,7 +343,7 @@
         self.draining = True
         if self.fleet is not None:
             self.fleet.hand_over(self)
-        self.engine.adopt(now, settings, self.setup.margin_ms)
+        self.engine.apply_settings(now, settings, self.setup.margin_ms)
         for client in list(self.clients.open.values()):
             self.clients.leave_if_idle(client)
         self._run()
