--- a/rushweir/rollout/__init__.py
+++ b/rushweir/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in force: a change costs what it changes, from whoever makes it to the turn that applies it."""
+"""Distribution of settings: a change costs in proportion to what it changes, from the operator to its application."""
--- a/rushweir/rollout/change_sets.py
+++ b/rushweir/rollout/change_sets.py
@@ -1,9 +1,9 @@
-"""Settings as keyed objects, and a change as one numbered step. Plain records and their bytes; no I/O, no clock.
+"""Settings as keyed objects, and numbered sets of changes to them. Records and their encoding; no I/O, no clock.
 
-An object is one block of the settings that stands by itself: a partner, a plan, a class, a cost route, a budget; what
-stands once is an object of its kind with an empty name. Its data are opaque here: the canonical bytes that whoever
-reads settings made of it. A step changes some objects, all or none; steps are numbered without a gap from 1, and the
-number of the last one in force is the version of the whole.
+An object is one independent block of the settings: a partner, a plan, a class, a cost route, a budget. A block that
+occurs once is an object of its kind with an empty name. An object's data are opaque here: the canonical bytes that
+the settings parser made of it. A change set changes some objects, all or none. Change sets are numbered from 1
+without a gap, and the number of the last committed one is the version of the settings.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 Key = tuple[str, str]  # kind, name
 
-MAX_CHANGES = 4_096  # of one step; a larger one is a mistake, or is made as several
-MAX_CHANGE_SET_BYTES = 1_048_576  # bytes of one step
-MAX_OBJECT_BYTES = 65_536  # bytes of one object
-MAX_NAME_CHARS = 128  # characters of a kind or name; as config/models.py has it
+MAX_CHANGES = 4_096  # in one change set; a larger one is a mistake, or is split by the operator
+MAX_CHANGE_SET_BYTES = 1_048_576
+MAX_OBJECT_BYTES = 65_536
+MAX_NAME_CHARS = 128  # of a kind or a name; the limit of config/models.py
 
 
 class ChangeSetError(ValueError):
-    """Bytes that are no step, or a step beyond the bounds; the text names the object."""
+    """Bytes that encode no change set, or a change set beyond the limits; the text names the object."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What one object is from now on; None: it is no more."""
+    """The new data of one object; None deletes it."""
 
     key: Key
     data: bytes | None
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeSet:
-    """``version`` numbers it, and the settings that it makes."""
+    """Changes that are committed together. ``version`` is its number and that of the settings after it."""
 
     version: int
     changes: tuple[Change, ...]
@@ -43,54 +43,56 @@
 
 
 def validate_changes(changes: tuple[Change, ...]) -> tuple[Change, ...]:
-    """The changes, if a step may carry them. Raises ChangeSetError."""
+    """Return the changes if one change set may carry them. Raises ChangeSetError."""
     if not 1 <= len(changes) <= MAX_CHANGES:
-        raise ChangeSetError(f"a step changes 1 to {MAX_CHANGES} objects, not {len(changes)}")
-    seen, size = set[Key](), 0
-    for c in changes:
-        kind, name = c.key
+        raise ChangeSetError(f"a change set changes 1 to {MAX_CHANGES} objects, not {len(changes)}")
+    seen = set[Key]()
+    size = 0
+    for change in changes:
+        kind, name = change.key
         if not (0 < len(kind) <= MAX_NAME_CHARS and len(name) <= MAX_NAME_CHARS):
             raise ChangeSetError(f"{kind[:40]} {name[:40]}: kind and name of at most {MAX_NAME_CHARS} characters")
-        if c.key in seen:
-            raise ChangeSetError(f"{kind} {name}: changed twice in one step")
-        if c.data is not None and len(c.data) > MAX_OBJECT_BYTES:
+        if change.key in seen:
+            raise ChangeSetError(f"{kind} {name}: changed twice in one change set")
+        if change.data is not None and len(change.data) > MAX_OBJECT_BYTES:
             raise ChangeSetError(f"{kind} {name}: more than {MAX_OBJECT_BYTES} bytes")
-        seen.add(c.key)
-        size += len(kind) + len(name) + len(c.data or b"")
+        seen.add(change.key)
+        size += len(kind) + len(name) + len(change.data or b"")
     if size > MAX_CHANGE_SET_BYTES:
-        raise ChangeSetError(f"a step of {size} bytes, {MAX_CHANGE_SET_BYTES} at most")
+        raise ChangeSetError(f"a change set of {size} bytes, {MAX_CHANGE_SET_BYTES} at most")
     return changes
 
 
-def to_row(step: ChangeSet) -> list[Any]:
-    """As it stands in messages and files that msgpack packs."""
-    return [step.version, step.author, [[*c.key, c.data] for c in step.changes]]
+def to_row(change_set: ChangeSet) -> list[Any]:
+    """The form that msgpack packs in messages and files."""
+    return [change_set.version, change_set.author, [[*c.key, c.data] for c in change_set.changes]]
 
 
-def pack(step: ChangeSet) -> bytes:
-    return msgpack.packb(to_row(step))
+def pack(change_set: ChangeSet) -> bytes:
+    """Encode a change set."""
+    return msgpack.packb(to_row(change_set))
 
 
-def from_row(told: Any) -> ChangeSet:
-    """Raises ChangeSetError."""
+def from_row(row: Any) -> ChangeSet:
+    """Check and return what ``to_row`` made. Raises ChangeSetError."""
     try:
-        number, author, rows = told
+        version, author, rows = row
         changes = tuple(Change((kind, name), data) for kind, name, data in rows)
-        sound = type(number) is int and number > 0 and isinstance(author, str) and all(
+        is_valid = type(version) is int and version > 0 and isinstance(author, str) and all(
             isinstance(c.key[0], str) and isinstance(c.key[1], str) and (c.data is None or type(c.data) is bytes)
             for c in changes
         )  # fmt: skip
     except (ValueError, TypeError) as problem:
-        raise ChangeSetError(f"not a step: {problem}") from None
-    if not sound:
-        raise ChangeSetError("not a step: a part of another type")
-    return ChangeSet(number, validate_changes(changes), author)
+        raise ChangeSetError(f"not a change set: {problem}") from None
+    if not is_valid:
+        raise ChangeSetError("not a change set: a field of another type")
+    return ChangeSet(version, validate_changes(changes), author)
 
 
 def unpack(data: bytes) -> ChangeSet:
-    """Raises ChangeSetError."""
+    """Decode a change set. Raises ChangeSetError."""
     try:
-        told = msgpack.unpackb(data)
+        row = msgpack.unpackb(data)
     except (ValueError, msgpack.UnpackException) as problem:
-        raise ChangeSetError(f"not a step: {problem}") from None
-    return from_row(told)
+        raise ChangeSetError(f"not a change set: {problem}") from None
+    return from_row(row)
--- a/rushweir/rollout/commands.py
+++ b/rushweir/rollout/commands.py
@@ -1,4 +1,4 @@
-"""What a control process asks of those who carry it out, and tells them. Plain records."""
+"""Commands that a control process's core gives to its shell, and what it reports to it. Plain records."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from rushweir.rollout.change_sets import ChangeSet, Key
 
-Objects = dict[Key, tuple[int, bytes]]  # each object that there is: the step that last changed it, its data
+Objects = dict[Key, tuple[int, bytes]]  # existing objects: the version that last changed each, and its data
 
 
 @dataclass(slots=True)
 class Send:
-    """One message to another control process, over a stream that keeps order while it holds."""
+    """Send one message to another control process, over a stream that keeps order as long as it lasts."""
 
     peer: int
     body: list[Any]
@@ -21,8 +21,9 @@
 
 @dataclass(slots=True)
 class Append:
-    """Write these records behind the log so that they outlive a crash, then say ``kept`` with the serial; of several
-    the last is enough. Appends and rewrites are carried out in the order in which they came."""
+    """Append these records to the log file durably, then call ``persisted`` with the serial.
+
+    Of several appends one call with the last serial is enough. Appends and rewrites are carried out in order."""
 
     serial: int
     records: tuple[list[Any], ...]
@@ -30,8 +31,10 @@
 
 @dataclass(slots=True)
 class Rewrite:
-    """Replace the whole log by these records, atomically, then say ``kept`` with the serial. They are made while they
-    are read, beside the loop if one likes: what they are made of stays as it is until then."""
+    """Replace the log file by these records, atomically, then call ``persisted`` with the serial.
+
+    The records are generated while they are read, which may be outside the event loop: their source does not change
+    until the call."""
 
     serial: int
     records: Iterable[list[Any]]
@@ -39,9 +42,10 @@
 
 @dataclass(slots=True)
 class Compact:
-    """Make the file anew, shorter, when it suits: these records, and behind them all that was asked for after this
-    serial. Nothing waits for it, and whoever is killed before has lost nothing. Say ``folded`` with the serial when
-    the new file is in place. A ``Rewrite`` after it ends it. The records are made as a Rewrite's."""
+    """Replace the log file, when convenient, by these records and all that was appended after this serial.
+
+    Nothing waits for it, and a kill before it is done loses nothing. Call ``compacted`` with the serial when the new
+    file is in place. A later ``Rewrite`` cancels it. The records are generated as those of ``Rewrite``."""
 
     serial: int
     records: Iterable[list[Any]]
@@ -56,7 +60,7 @@
 
 @dataclass(slots=True)
 class SnapshotInstalled:
-    """This process was so far behind that it took the whole: ``number`` is in force, ``objects`` is all there is."""
+    """This process lagged and took a snapshot: ``objects`` are all there are at the committed ``version``."""
 
     version: int
     objects: Objects
@@ -64,9 +68,10 @@
 
 @dataclass(slots=True)
 class ProposalAnswered:
-    """What became of a proposal: the number of its step, which is in force now, or why not.
+    """The result of a proposal: the version of its change set, which is committed, or the reason why it is not.
 
-    ``leader`` is whom to ask instead, -1: nobody known. ``unsure``: it may come into force yet; nobody was told so.
+    ``leader`` is the process to ask instead, -1: unknown. ``unsure``: the change set may still be committed; no
+    success was reported to anyone.
     """
 
     request_id: int
@@ -78,7 +83,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """For the log."""
+    """Write a log event with this level, cause and fields."""
 
     level: str
     cause: str
--- a/tests/rollout/test_change_sets.py
+++ b/tests/rollout/test_change_sets.py
@@ -1,4 +1,4 @@
-"""Steps and their bytes."""
+"""Change sets and their encoding."""
 
 import msgpack
 import pytest
@@ -22,22 +22,22 @@
 
 
 @given(st.integers(1, 2**53), changes, st.text(max_size=20))
-def test_a_step_is_read_as_it_was_written(number, made, author):
-    step = ChangeSet(number, tuple(Change(k, v) for k, v in made.items()), author)
-    assert unpack(pack(step)) == step
+def test_unpack_returns_the_packed_change_set(version, made, author):
+    change_set = ChangeSet(version, tuple(Change(key, data) for key, data in made.items()), author)
+    assert unpack(pack(change_set)) == change_set
 
 
 @given(st.binary(max_size=60))
-def test_other_bytes_are_refused_and_nothing_else_is_raised(data):
+def test_unpack_of_arbitrary_bytes_raises_change_set_error_only(data):
     try:
-        step = unpack(data)
+        change_set = unpack(data)
     except ChangeSetError:
         return
-    assert unpack(pack(step)) == step
+    assert unpack(pack(change_set)) == change_set
 
 
 @pytest.mark.parametrize(
-    "told, says",
+    "row, message",
     [
         ([0, "", [["plan", "a", b""]]], "another type"),
         ([1, "", []], "1 to 4096"),
@@ -47,14 +47,14 @@
         ([1, "", [["plan", "a" * 200, b""]]], "128 characters"),
         ([1, "", [["plan", str(k), b""] for k in range(MAX_CHANGES + 1)]], "not 4097"),
         ([1, "", [["plan", str(k), b"x" * 65_000] for k in range(20)]], "1048576 at most"),
-        ([1, ""], "not a step"),
+        ([1, ""], "not a change set"),
     ],
 )
-def test_what_no_step_may_be_is_told_with_its_object(told, says):
-    with pytest.raises(ChangeSetError, match=says):
-        from_row(msgpack.unpackb(msgpack.packb(told)))
+def test_invalid_change_set_is_refused_with_the_name_of_its_object(row, message):
+    with pytest.raises(ChangeSetError, match=message):
+        from_row(msgpack.unpackb(msgpack.packb(row)))
 
 
-def test_checked_gives_back_what_it_was_given():
+def test_validate_changes_returns_its_argument():
     made = (Change(("plan", "a"), b"x"), Change(("class", ""), None))
     assert validate_changes(made) is made
