--- a/rushweir/lab/sim/control_plants.py
+++ b/rushweir/lab/sim/control_plants.py
@@ -60,7 +60,7 @@
 
 
 class Sure(Control):
-    def _quorum_at(self) -> float:
+    def _leadership_expires_at(self) -> float:
         return inf
 
 
--- a/rushweir/rollout/control_messages.py
+++ b/rushweir/rollout/control_messages.py
@@ -1,7 +1,7 @@
-"""Messages between control processes: each kind's fields, checked before anything is done, and who acts on it.
+"""Messages between control processes: the fields of each kind, checked before any effect, and its handler.
 
-Each begins with kind, term and position (control.py). Sizes are bounded by control_peers.py: some 256 KB of entries
-and one more, or a part of some 128 KB. No I/O, no clock.
+Each message begins with kind, term and position (control.py). control_peers.py bounds the sizes: some 256 KB of
+entries plus one, or a snapshot chunk of some 128 KB. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -15,122 +15,131 @@
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
 
-MOST_WIRE = 4_194_304  # bytes of one message as it is sent
-MOST_INDEX = 1 << 62
+MAX_WIRE_BYTES = 4_194_304  # of one message
+MAX_INDEX = 1 << 62
 
 
-def whole(value: Any) -> bool:
-    return type(value) is int and 0 <= value < MOST_INDEX
+def is_index(value: Any) -> bool:
+    """Whether a value is an index, a term or a position."""
+    return type(value) is int and 0 <= value < MAX_INDEX
 
 
-def number(value: Any) -> bool:
+def is_number(value: Any) -> bool:
+    """Whether a value is a number other than NaN."""
     return type(value) in (int, float) and value == value
 
 
-def truth(value: Any) -> bool:
+def is_bool(value: Any) -> bool:
+    """Whether a value is true or false."""
     return type(value) is bool
 
 
-def entries(value: Any) -> bool:
+def are_entries(value: Any) -> bool:
+    """Whether a value is a list of [term, data]."""
     return type(value) is list and all(
-        type(r) is list and len(r) == 2 and whole(r[0]) and type(r[1]) is bytes for r in value
+        type(r) is list and len(r) == 2 and is_index(r[0]) and type(r[1]) is bytes for r in value
     )
 
 
-def objects(value: Any) -> bool:
+def are_objects(value: Any) -> bool:
+    """Whether a value is a list of [kind, name, version, data]; the follower checks their types."""
     return type(value) is list and all(type(r) is list and len(r) == 4 for r in value)
 
 
-def positions(value: Any) -> bool:
-    return type(value) is list and all(whole(v) for v in value)
+def are_positions(value: Any) -> bool:
+    """Whether a value is a list of positions."""
+    return type(value) is list and all(is_index(v) for v in value)
 
 
 @dataclass(frozen=True, slots=True)
 class Handler:
+    """The checks of a kind's fields, and the function that handles it."""
+
     fields: tuple[Callable[[Any], bool], ...]
     act: Callable[[Control, int, int, list], None]
 
-    def checked(self, term: Any, position: Any, rest: list) -> list:
-        """Raises ValueError."""
-        if not (whole(term) and whole(position) and len(rest) == len(self.fields)):
+    def validate(self, term: Any, position: Any, rest: list) -> list:
+        """Return the fields. Raises ValueError."""
+        if not (is_index(term) and is_index(position) and len(rest) == len(self.fields)):
             raise ValueError("head")
-        if not all(sound(value) for sound, value in zip(self.fields, rest, strict=True)):
+        if not all(is_valid(value) for is_valid, value in zip(self.fields, rest, strict=True)):
             raise ValueError("fields")
         return rest
 
 
-def _pre(c: Control, source: int, term: int, rest: list) -> None:
-    asked, last, last_term = rest
-    c.election.asked(source, asked, last, last_term)
+def _pre_vote(control: Control, source: int, term: int, rest: list) -> None:
+    proposed_term, last_index, last_term = rest
+    control.election.answer_pre_vote(source, proposed_term, last_index, last_term)
 
 
-def _pre_answer(c: Control, source: int, term: int, rest: list) -> None:
-    c.election.pre_answered(source, *rest)
+def _pre_vote_answer(control: Control, source: int, term: int, rest: list) -> None:
+    control.election.pre_vote_answered(source, *rest)
 
 
-def _vote(c: Control, source: int, term: int, rest: list) -> None:
-    if term < c.term:
-        c.send(source, "vote_answer", False)  # it learns of the newer term
+def _vote(control: Control, source: int, term: int, rest: list) -> None:
+    if term < control.term:
+        control.send(source, "vote_answer", False)  # so that it learns of the newer term
     else:
-        c.election.asked_vote(source, *rest)
+        control.election.answer_vote(source, *rest)
 
 
-def _vote_answer(c: Control, source: int, term: int, rest: list) -> None:
-    if term == c.term:
-        c.election.vote_answered(source, *rest)
+def _vote_answer(control: Control, source: int, term: int, rest: list) -> None:
+    if term == control.term:
+        control.election.vote_answered(source, *rest)
 
 
-def _from_leader(c: Control, source: int, term: int) -> bool:
-    if term < c.term:
-        c.send(source, "append_answer", False, 0, 0.0)  # it learns of the newer term
+def _accept_leader(control: Control, source: int, term: int) -> bool:
+    """Whether the sender leads in the current term."""
+    if term < control.term:
+        control.send(source, "append_answer", False, 0, 0.0)  # so that it learns of the newer term
         return False
-    if c.election.role is LEADER:
-        raise ValueError(f"a second leader of term {term}")  # can't be, unless a vote was forgotten
-    if c.leader != source:
-        c.follower.reset()
-    c.election.heard(source)
+    if control.election.role is LEADER:
+        raise ValueError(f"a second leader of term {term}")  # impossible unless a vote was forgotten
+    if control.leader != source:
+        control.follower.reset()
+    control.election.leader_heard(source)
     return True
 
 
-def _append(c: Control, source: int, term: int, rest: list) -> None:
-    before, before_term, commit, rows, told, sent_at = rest
-    if len(told) != c.count:
-        raise ValueError(f"positions of {len(told)} processes, of {c.count}")
-    if _from_leader(c, source, term):
-        c.merge_positions(told)
-        if not c.outdated:
-            c.follower.append(source, before, before_term, commit, rows, sent_at)
+def _append(control: Control, source: int, term: int, rest: list) -> None:
+    previous, previous_term, commit_index, rows, positions, sent_at = rest
+    if len(positions) != control.count:
+        raise ValueError(f"positions of {len(positions)} processes, of {control.count}")
+    if _accept_leader(control, source, term):
+        control.merge_positions(positions)
+        if not control.outdated:
+            control.follower.append_entries(source, previous, previous_term, commit_index, rows, sent_at)
 
 
-def _append_answer(c: Control, source: int, term: int, rest: list) -> None:
-    if term == c.term and source in c.peers:
-        c.peers[source].answered(*rest)
-        c.advance_commit_index()
+def _append_answer(control: Control, source: int, term: int, rest: list) -> None:
+    if term == control.term and source in control.peers:
+        control.peers[source].append_answered(*rest)
+        control.advance_commit_index()
 
 
-def _part(c: Control, source: int, term: int, rest: list) -> None:
-    if _from_leader(c, source, term):
-        c.follower.part(source, *rest)
+def _chunk(control: Control, source: int, term: int, rest: list) -> None:
+    if _accept_leader(control, source, term):
+        control.follower.install_chunk(source, *rest)
 
 
-def _part_answer(c: Control, source: int, term: int, rest: list) -> None:
-    if term == c.term and source in c.peers:
-        c.peers[source].part_answered(*rest)
+def _chunk_answer(control: Control, source: int, term: int, rest: list) -> None:
+    if term == control.term and source in control.peers:
+        control.peers[source].chunk_answered(*rest)
 
 
-def _outdated(c: Control, source: int, term: int, rest: list) -> None:
-    c.check_own_position(rest[0])
+def _outdated(control: Control, source: int, term: int, rest: list) -> None:
+    control.check_own_position(rest[0])
 
 
 HANDLERS = {
-    "here": Handler((), lambda c, source, term, rest: None),  # for its position alone
-    "pre": Handler((whole, whole, whole), _pre),
-    "pre_answer": Handler((whole, truth), _pre_answer),
-    "vote": Handler((whole, whole), _vote),
-    "vote_answer": Handler((truth,), _vote_answer),
-    "append": Handler((whole, whole, whole, entries, positions, number), _append),
-    "append_answer": Handler((truth, whole, number), _append_answer),
-    "part": Handler((whole, whole, whole, whole, truth, objects, number), _part),
-    "part_answer": Handler((whole, whole, number), _part_answer),
-    "outdated": Handler((whole,), _outdated),
+    "here": Handler((), lambda control, source, term, rest: None),  # for its position alone
+    "pre": Handler((is_index, is_index, is_index), _pre_vote),
+    "pre_answer": Handler((is_index, is_bool), _pre_vote_answer),
+    "vote": Handler((is_index, is_index), _vote),
+    "vote_answer": Handler((is_bool,), _vote_answer),
+    "append": Handler((is_index, is_index, is_index, are_entries, are_positions, is_number), _append),
+    "append_answer": Handler((is_bool, is_index, is_number), _append_answer),
+    "part": Handler((is_index, is_index, is_index, is_index, is_bool, are_objects, is_number), _chunk),
+    "part_answer": Handler((is_index, is_index, is_number), _chunk_answer),
+    "outdated": Handler((is_index,), _outdated),
 }
--- a/rushweir/rollout/control_peers.py
+++ b/rushweir/rollout/control_peers.py
@@ -1,11 +1,12 @@
-"""What a leader knows of each other process, and what it sends it: entries, or the whole in parts. No I/O, no clock.
+"""What a leader knows of each other process and sends it: append entries, or a snapshot in chunks. No I/O, no clock.
 
-    from      event                                               to
-    ENTRIES   what it needs next is folded away here              WHOLE     parts, one on its way at a time
-    WHOLE     it has all parts on disk                            ENTRIES
-    WHOLE     no answer for an election time, or a new stream     WHOLE     the same part again
+    from       event                                           to
+    ENTRIES    the next entry that it needs is compacted       SNAPSHOT   chunks, one in flight at a time
+    SNAPSHOT   it has all chunks on disk                       ENTRIES
+    SNAPSHOT   no answer for an election timeout, or a new     SNAPSHOT   the same chunk again
+               stream
 
-Entries are sent ahead of their answers, within bounds; after an answer that they do not fit, from what does fit.
+Entries are sent ahead of their answers, within limits; after a rejection, again from where the logs match.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 if TYPE_CHECKING:
     from rushweir.rollout.control import Control
 
-FLYING, FLYING_BYTES = 512, 2_097_152  # entries sent and not confirmed, and bytes of them; one more entry
+MAX_IN_FLIGHT, MAX_IN_FLIGHT_BYTES = 512, 2_097_152  # entries sent and not confirmed; plus one entry
 
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """The base, being told to one peer."""
+    """A snapshot that is being sent to one peer. ``next``: number of the chunk in flight."""
 
     index: int
     term: int
     version: int
-    parts: SnapshotChunks
+    chunks: SnapshotChunks
     next: int = 0
     sent_at: float = 0.0
 
@@ -38,95 +39,111 @@
 
     def __init__(self, control: Control, id: int) -> None:
         self.control, self.id = control, id
-        self.match_index = 0  # entries up to this one are on its disk
-        self.next = control.log.last_index + 1
-        self.heard_at = control.now  # when that was sent which it answered last
-        self.heartbeat_at = control.now
+        self.match_index = 0  # entries up to it are on the peer's disk
+        self.next_index = control.log.last_index + 1
+        self.last_heard_at = control.now  # when the message that it answered last was sent
+        self.heartbeat_due_at = control.now
         self.transfer: SnapshotTransfer | None = None
 
     def tick(self) -> None:
-        if self.control.now >= self.heartbeat_at:
-            w = self.transfer
-            if w is not None and self.control.now - w.sent_at >= self.control.timing.election_timeout_ms:
-                self._send_part(w)
+        """Send a heartbeat if it is due, and an unanswered chunk again."""
+        if self.control.now >= self.heartbeat_due_at:
+            transfer = self.transfer
+            timeout = self.control.timing.election_timeout_ms
+            if transfer is not None and self.control.now - transfer.sent_at >= timeout:
+                self._send_chunk(transfer)
             self.replicate(heartbeat=True)
 
     def connected(self) -> None:
-        """What was on its way is lost."""
-        self.next = self.match_index + 1
+        """Begin again on a new stream: messages in flight are lost."""
+        self.next_index = self.match_index + 1
         if self.transfer is not None:
-            self._send_part(self.transfer)
+            self._send_chunk(self.transfer)
         self.replicate(heartbeat=True)
 
     def replicate(self, heartbeat: bool = False) -> None:
-        """What it may get now, at least a word if ``beat``."""
+        """Send what the limits allow; at least one message if ``heartbeat``."""
         log = self.control.log
-        if self.transfer is None and self.next <= log.snapshot.index:
-            b = log.snapshot
-            self.transfer = SnapshotTransfer(b.index, b.term, b.version, SnapshotChunks(b, log.limits.chunk_bytes))
-            self._send_part(self.transfer)
+        if self.transfer is None and self.next_index <= log.snapshot.index:
+            snapshot = log.snapshot
+            chunks = SnapshotChunks(snapshot, log.limits.chunk_bytes)
+            self.transfer = SnapshotTransfer(snapshot.index, snapshot.term, snapshot.version, chunks)
+            self._send_chunk(self.transfer)
         if self.transfer is not None:
-            if heartbeat:  # an entry's place that it can't have: it answers, and that is all that is wanted
-                self._append(log.snapshot.index, [])
+            if heartbeat:  # after an entry that the peer can't have: only its answer matters
+                self._append_entries(log.snapshot.index, [])
             return
         while (rows := self._rows()) or heartbeat:
             heartbeat = False
-            self._append(self.next - 1, rows)
-            self.next += len(rows)
-
-    def _append(self, before: int, rows: list[list[Any]]) -> None:
-        c = self.control
-        self.heartbeat_at = c.now + c.timing.heartbeat_ms
-        c.send(
-            self.id,
-            "append",
-            before,
-            c.log.term(before),
-            min(c.commit_index, c.log.last_index),
-            rows,
-            c.positions(),
-            c.now,
+            self._append_entries(self.next_index - 1, rows)
+            self.next_index += len(rows)
+
+    def _append_entries(self, previous: int, rows: list[list[Any]]) -> None:
+        control = self.control
+        log = control.log
+        self.heartbeat_due_at = control.now + control.timing.heartbeat_ms
+        commit_index = min(control.commit_index, log.last_index)
+        control.send(
+            self.id, "append", previous, log.term(previous), commit_index, rows, control.positions(), control.now
         )
 
     def _rows(self) -> list[list[Any]]:
+        """Term and data of the entries that may be sent in one message now."""
         log, rows, size = self.control.log, [], 0
-        flying = sum(
-            len(log.entry_at(n).data) for n in range(max(self.match_index, log.snapshot.index) + 1, self.next)
-        )
-        most, k = min(log.limits.message_bytes, FLYING_BYTES - flying), self.next
-        while k <= log.last_index and k - self.match_index <= FLYING and size < most:
-            e = log.entry_at(k)
-            rows.append([e.term, e.data])
-            size += len(e.data)
+        unconfirmed = range(max(self.match_index, log.snapshot.index) + 1, self.next_index)
+        in_flight_bytes = sum(len(log.entry_at(n).data) for n in unconfirmed)
+        max_bytes, k = min(log.limits.message_bytes, MAX_IN_FLIGHT_BYTES - in_flight_bytes), self.next_index
+        while k <= log.last_index and k - self.match_index <= MAX_IN_FLIGHT and size < max_bytes:
+            entry = log.entry_at(k)
+            rows.append([entry.term, entry.data])
+            size += len(entry.data)
             k += 1
         return rows
 
-    def _send_part(self, w: SnapshotTransfer) -> None:
-        c = self.control
-        w.sent_at = c.now
-        rows = w.parts.chunk(w.next)
-        c.send(self.id, "part", w.index, w.term, w.version, w.next, w.parts.is_last(w.next), rows, c.now)
+    def _send_chunk(self, transfer: SnapshotTransfer) -> None:
+        control = self.control
+        transfer.sent_at = control.now
+        rows = transfer.chunks.chunk(transfer.next)
+        is_last = transfer.chunks.is_last(transfer.next)
+        control.send(
+            self.id,
+            "part",
+            transfer.index,
+            transfer.term,
+            transfer.version,
+            transfer.next,
+            is_last,
+            rows,
+            control.now,
+        )
 
     # --- answers ---------------------------------------------------------------------------------
 
-    def answered(self, fits: bool, index: int, sent_at: float) -> None:
-        """``index``: up to where its disk has what this log has, or up to where the two may be equal."""
-        self._heard(sent_at)
-        if fits:
+    def append_answered(self, accepted: bool, index: int, sent_at: float) -> None:
+        """``index``: up to it the peer's disk has this log's entries, or, if rejected, the logs may be equal."""
+        self._note_answer(sent_at)
+        if accepted:
             self.match_index = max(self.match_index, min(index, self.control.log.last_index))
-            self.next = max(self.next, self.match_index + 1)
+            self.next_index = max(self.next_index, self.match_index + 1)
             if self.transfer is not None and self.match_index >= self.transfer.index:
                 self.transfer = None
         elif self.transfer is None:
-            self.next = max(self.match_index, min(index, self.next - 2, self.control.log.last_index)) + 1
+            hint = min(index, self.next_index - 2, self.control.log.last_index)
+            self.next_index = max(self.match_index, hint) + 1
         self.replicate()
 
-    def part_answered(self, index: int, wanted: int, sent_at: float) -> None:
-        self._heard(sent_at)
-        w = self.transfer
-        if w is not None and w.index == index and 0 <= wanted < w.parts.available and wanted != w.next:
-            w.next = wanted
-            self._send_part(w)
-
-    def _heard(self, sent_at: float) -> None:
-        self.heard_at = max(self.heard_at, min(sent_at, self.control.now))
+    def chunk_answered(self, index: int, wanted: int, sent_at: float) -> None:
+        """``wanted``: number of the chunk of the snapshot at ``index`` that the peer needs next."""
+        self._note_answer(sent_at)
+        transfer = self.transfer
+        if (
+            transfer is not None
+            and transfer.index == index
+            and 0 <= wanted < transfer.chunks.available
+            and wanted != transfer.next
+        ):
+            transfer.next = wanted
+            self._send_chunk(transfer)
+
+    def _note_answer(self, sent_at: float) -> None:
+        self.last_heard_at = max(self.last_heard_at, min(sent_at, self.control.now))
--- a/rushweir/rollout/control_records.py
+++ b/rushweir/rollout/control_records.py
@@ -1,4 +1,4 @@
-"""Records of a control process: its times, and writes that are not on disk yet."""
+"""Records of a control process: its timing, and writes in progress."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """In milliseconds of the process's own clock."""
+    """Intervals by the process's own clock."""
 
-    heartbeat_ms: float = 200.0  # a leader is heard at least so often
-    election_timeout_ms: float = 1_500.0  # silence after which others stand, after this and up to twice of it
+    heartbeat_ms: float = 200.0  # the longest pause between messages of a leader
+    election_timeout_ms: float = 1_500.0  # of silence until a pre-vote; drawn from this to twice of it
 
 
 TIMING = Timing()
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    """One write that is not on disk yet."""
+    """A write that is not on disk yet. ``last_index``: of the log with it; ``term``: that it holds, if any."""
 
     serial: int
     position: int
-    last_index: int  # the log's end with it
-    term: int | None  # the term that it keeps, if it does
+    last_index: int
+    term: int | None
--- a/rushweir/rollout/follower.py
+++ b/rushweir/rollout/follower.py
@@ -1,7 +1,7 @@
-"""What a process takes from its leader: entries behind what both have, or the whole in parts. No I/O, no clock.
+"""What a follower takes from its leader: append entries, or a snapshot in chunks. No I/O, no clock.
 
-An answer says up to where this process's *disk* has what the leader has; so it goes out once what was sent is on
-disk, and at once for what was there before (a slow disk does not look like silence).
+An answer says up to which index this process's *disk* has the leader's entries. So it is sent once new entries are on
+disk, and at once for those that were there before (a slow disk does not look like a lost connection).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class SnapshotInstall:
-    """A whole, while its parts come."""
+    """A snapshot whose chunks are being received. ``next``: number of the next chunk."""
 
     index: int
     term: int
@@ -30,109 +30,119 @@
 
 
 class Follower:
+    """The part of a control process that follows a leader."""
+
     def __init__(self, control: Control) -> None:
         self.control = control
-        self.match_index = 0  # entries up to this one are the leader's, too
-        self.sent_at = 0.0  # by the leader's clock: the newest of its messages
+        self.match_index = 0  # entries up to it equal the leader's
+        self.sent_at = 0.0  # of the leader's newest message, by the leader's clock
         self.install: SnapshotInstall | None = None
 
     def reset(self) -> None:
-        """There is another leader, or none."""
+        """Begin with another leader, or none."""
         self.match_index, self.install = 0, None
 
-    def append(self, source: int, before: int, before_term: int, commit: int, rows: list, sent_at: float) -> None:
-        c, log = self.control, self.control.log
+    def append_entries(
+        self, source: int, previous: int, previous_term: int, commit_index: int, rows: list, sent_at: float
+    ) -> None:
+        """Take entries that follow the index ``previous``. Raises ChangeSetError or ValueError."""
+        control, log = self.control, self.control.log
         self.sent_at = sent_at
-        if before > log.last_index or (before >= log.snapshot.index and log.term(before) != before_term):
-            c.send(source, "append_answer", False, self._hint(before), sent_at)
+        if previous > log.last_index or (previous >= log.snapshot.index and log.term(previous) != previous_term):
+            control.send(source, "append_answer", False, self._conflict_hint(previous), sent_at)
             return
-        self.match_index = max(self.match_index, c.commit_index)
-        k = max(before, log.snapshot.index) + 1
-        while k <= log.last_index and k <= before + len(rows) and log.term(k) == rows[k - before - 1][0]:
+        self.match_index = max(self.match_index, control.commit_index)
+        k = max(previous, log.snapshot.index) + 1
+        while k <= log.last_index and k <= previous + len(rows) and log.term(k) == rows[k - previous - 1][0]:
             k += 1
-        if new := rows[k - before - 1 :]:
-            self._take_over(k, new)
-        self.match_index = max(self.match_index, before + len(rows))
-        c.commit_through(min(commit, self.match_index))
+        if new := rows[k - previous - 1 :]:
+            self._replace_entries(k, new)
+        self.match_index = max(self.match_index, previous + len(rows))
+        control.commit_through(min(commit_index, self.match_index))
         self.send_append_answer(source)
 
-    def _take_over(self, k: int, rows: list) -> None:
-        """These are the leader's from ``k`` on. Raises ChangeSetError or ValueError before anything is changed."""
-        c, log = self.control, self.control.log
-        if k <= c.commit_index:
-            raise ValueError(f"entry {k} is in force here, and another")  # no leader sends it
+    def _replace_entries(self, begin: int, rows: list) -> None:
+        """Replace the entries from ``begin`` on. Raises ChangeSetError or ValueError before anything is changed."""
+        control, log = self.control, self.control.log
+        if begin <= control.commit_index:
+            raise ValueError(f"entry {begin} differs and is committed here")  # no correct leader sends it
         new: list[Entry] = []
-        number = log.version_at(k - 1)
+        version = log.version_at(begin - 1)
         for term, data in rows:
-            new.append(decode_entry(term, number, data))
-            number = new[-1].version
+            new.append(decode_entry(term, version, data))
+            version = new[-1].version
         records: list[list[Any]] = []
-        if k <= log.last_index:
-            c.truncate_log(k)
-            records.append(["cut", k])
-        for n, e in enumerate(new, k):
-            log.append(e)
-            records.append(["entry", n, e.term, e.data])
-        c.persist(records)
-
-    def _hint(self, before: int) -> int:
-        """Up to where the two may be equal: not in the term that differs (Raft, 5.3), but what is in force is."""
-        c, log = self.control, self.control.log
-        k = min(before - 1, log.last_index)
-        if before <= log.last_index:
-            differs = log.term(before)
-            while k > max(c.commit_index, log.snapshot.index) and log.term(k) == differs:
+        if begin <= log.last_index:
+            control.truncate_log(begin)
+            records.append(["cut", begin])
+        for index, entry in enumerate(new, begin):
+            log.append(entry)
+            records.append(["entry", index, entry.term, entry.data])
+        control.persist(records)
+
+    def _conflict_hint(self, previous: int) -> int:
+        """The last index at which the two logs may be equal.
+
+        It is before the term that differs (Raft, 5.3), but not before the commit index."""
+        control, log = self.control, self.control.log
+        k = min(previous - 1, log.last_index)
+        if previous <= log.last_index:
+            conflicting_term = log.term(previous)
+            while k > max(control.commit_index, log.snapshot.index) and log.term(k) == conflicting_term:
                 k -= 1
-        return max(k, c.commit_index)
+        return max(k, control.commit_index)
 
     def send_append_answer(self, leader: int) -> None:
-        c = self.control
-        c.send(
-            leader, "append_answer", True, min(max(self.match_index, c.commit_index), c.persisted_index), self.sent_at
-        )
+        """Tell the leader up to which index its entries are on disk here."""
+        control = self.control
+        index = min(max(self.match_index, control.commit_index), control.persisted_index)
+        control.send(leader, "append_answer", True, index, self.sent_at)
 
-    # --- the whole -------------------------------------------------------------------------------
+    # --- snapshots -------------------------------------------------------------------------------
 
-    def part(self, source: int, index: int, term: int, number: int, k: int, last: bool, rows: list,
-             sent_at: float) -> None:  # fmt: skip
-        c = self.control
+    def install_chunk(self, source: int, index: int, term: int, version: int, k: int, last: bool, rows: list,
+                      sent_at: float) -> None:  # fmt: skip
+        """Take chunk ``k`` of the snapshot at a log index. Raises ChangeSetError."""
+        control = self.control
         self.sent_at = sent_at
-        if index <= c.commit_index:
+        if index <= control.commit_index:
             self.install = None
             self.send_append_answer(source)
             return
-        t = self.install
-        if t is None or (t.index, t.term) != (index, term):
-            t = self.install = SnapshotInstall(index, term, number)
-        if k == t.next:
-            self._take(t, rows)
-            t.next += 1
+        install = self.install
+        if install is None or (install.index, install.term) != (index, term):
+            install = self.install = SnapshotInstall(index, term, version)
+        if k == install.next:
+            self._add_objects(install, rows)
+            install.next += 1
             if last:
-                self._install(t)
+                self._finish(install)
                 return  # answered once it is on disk
-        c.send(source, "part_answer", index, t.next, sent_at)
+        control.send(source, "part_answer", index, install.next, sent_at)
 
-    def _take(self, t: SnapshotInstall, rows: list) -> None:
+    def _add_objects(self, install: SnapshotInstall, rows: list) -> None:
         new: Objects = {}
         for kind, name, version, data in rows:
-            sound = isinstance(kind, str) and isinstance(name, str) and type(data) is bytes and type(version) is int
+            is_valid = (
+                isinstance(kind, str) and isinstance(name, str) and type(data) is bytes and type(version) is int
+            )
             if (
-                not sound
+                not is_valid
                 or len(data) > MAX_OBJECT_BYTES
                 or not 0 < len(kind) <= MAX_NAME_CHARS
                 or len(name) > MAX_NAME_CHARS
             ):
-                raise ChangeSetError("a part of the whole with what is no object")
+                raise ChangeSetError("a malformed object in a snapshot chunk")
             new[kind, name] = (version, data)
-            t.bytes += object_size((kind, name), data)
-        t.objects |= new
-        if t.bytes > MAX_SNAPSHOT_BYTES or len(t.objects) > MAX_OBJECTS:
+            install.bytes += object_size((kind, name), data)
+        install.objects |= new
+        if install.bytes > MAX_SNAPSHOT_BYTES or len(install.objects) > MAX_OBJECTS:
             self.install = None
-            raise ChangeSetError(f"a whole of more than {MAX_OBJECTS} objects or {MAX_SNAPSHOT_BYTES} bytes")
+            raise ChangeSetError(f"a snapshot of more than {MAX_OBJECTS} objects or {MAX_SNAPSHOT_BYTES} bytes")
 
-    def _install(self, t: SnapshotInstall) -> None:
-        c = self.control
+    def _finish(self, install: SnapshotInstall) -> None:
+        control = self.control
         self.install = None
-        c.install_snapshot(Snapshot(t.index, t.term, t.version, t.objects))
-        self.match_index = max(self.match_index, t.index)
-        c.commands.append(SnapshotInstalled(t.version, dict(c.objects)))
+        control.install_snapshot(Snapshot(install.index, install.term, install.version, install.objects))
+        self.match_index = max(self.match_index, install.index)
+        control.commands.append(SnapshotInstalled(install.version, dict(control.objects)))
--- a/rushweir/rollout/storage.py
+++ b/rushweir/rollout/storage.py
@@ -65,8 +65,7 @@
         yield ["of", self.me, self.count]
         yield ["at", self.position]
         yield ["term", self.term, self.voted_for]
-        chunks = SnapshotChunks(self.snapshot, WRITE_CHUNK_BYTES)
-        k = 0
+        chunks, k = SnapshotChunks(self.snapshot, WRITE_CHUNK_BYTES), 0
         while k < chunks.available:
             yield ["part", *chunks.chunk(k)]
             k += 1
--- a/tests/rollout/test_control_change.py
+++ b/tests/rollout/test_control_change.py
@@ -75,7 +75,7 @@
             # A second operator, whose files were made on step 1: the plan has changed since.
             file.write_text(settings(burst=7))
             out, code = await rushweir(stage, 0, "change", "apply", str(file), "--base", "1", "--author", "ann")
-            assert code == 1 and out.startswith("refused: p") and "changed by step 2" in out
+            assert code == 1 and out.startswith("refused: p") and "changed by change set 2" in out
             file.write_text(settings(burst=9))  # what stands in no file is taken out
             out, code = await rushweir(stage, 0, "change", "apply", str(file))
             assert (out, code) == ("step 3: 1 objects changed\n", 0)
--- a/tests/rollout/test_control_processes.py
+++ b/tests/rollout/test_control_processes.py
@@ -89,7 +89,7 @@
         won = [t for t in told if t["number"] is not None]
         assert len(won) == 1 and won[0]["number"] == base + 1
         for t in told:
-            assert t in won or f"partner p: changed by step {base + 1} by operator-" in t["why"]
+            assert t in won or f"partner p: changed by change set {base + 1} by operator-" in t["why"]
         base += 1
         await s.all_have(base)
     other = await s.propose(0, "q", b"x", base - 3)  # older, but nobody changed that one
--- a/tests/rollout/test_control_watch.py
+++ b/tests/rollout/test_control_watch.py
@@ -1,4 +1,4 @@
-"""Sessions of those that watch, on the listening address of a control process."""
+"""Watchers' connections, on the listening address of a control process."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from rushweir.rollout.change_sets import Change
 
 
-class Stub:
-    """Tells each that watches the numbers of the steps, and ends who says ``bad``."""
+class StubSessions:
+    """Sends each watcher the committed versions, and closes the connection of one that sends ``bad``."""
 
     def __init__(self):
         self.orders, self.calls, self.conns, self.current = deque(), [], set(), None
-        self.happened = asyncio.Event()
+        self.called = asyncio.Event()
 
-    def _note(self, *what):
-        self.calls.append(what)
-        self.happened.set()
+    def _record(self, *call):
+        self.calls.append(call)
+        self.called.set()
 
     def jumped(self, now, number, objects):
-        self._note("jumped", number, objects)
+        self._record("jumped", number, objects)
 
-    def committed(self, now, step):
-        self._note("committed", step.version)
-        self.orders.extend(SimpleNamespace(conn=c, data=b"%d" % step.version) for c in self.conns)
-        self.orders.append(SimpleNamespace(told={"at": step.version}))
+    def committed(self, now, change_set):
+        self._record("committed", change_set.version)
+        self.orders.extend(SimpleNamespace(conn=conn, data=b"%d" % change_set.version) for conn in self.conns)
+        self.orders.append(SimpleNamespace(told={"at": change_set.version}))
 
     def set_current(self, now, current):
         self.current = current
@@ -46,19 +46,19 @@
         self.orders.append(SimpleNamespace(conn=conn, data=b"hello"))
 
     def received(self, now, conn, text):
-        self._note("received", bytes(text))
+        self._record("received", bytes(text))
         if text == b"bad":
-            self.orders.append(SimpleNamespace(conn=conn, why="no manners"))
+            self.orders.append(SimpleNamespace(conn=conn, why="malformed"))
 
     def set_writable(self, now, conn, writable):
-        self._note("writable", writable)
+        self._record("writable", writable)
 
     def closed(self, now, conn):
         self.conns.discard(conn)
-        self._note("closed", conn)
+        self._record("closed", conn)
 
     def take_report(self, now, told):
-        self._note("report", told)
+        self._record("report", told)
 
     def next_at(self):
         return None
@@ -66,78 +66,80 @@
     def advance(self, now):
         return
 
-    async def until(self, *what):
+    async def wait_for(self, *expected):
+        """Wait for a call that begins with these."""
         async with asyncio.timeout(20.0):
-            while not any(call[: len(what)] == what for call in self.calls):
-                self.happened.clear()
-                await self.happened.wait()
+            while not any(call[: len(expected)] == expected for call in self.calls):
+                self.called.clear()
+                await self.called.wait()
 
 
-async def played(folder, scene):
+async def run_process(folder, scenario):
+    """Run one control process during a scenario, and end it; returns its sessions."""
     config = ControlConfig(0, (("127.0.0.1", free_port()),), folder / "state", b"k" * 32, folder / "sock")
-    stub = Stub()
+    stub = StubSessions()
     files = ControlFiles(config.state, 0, 1, not (folder / "state").exists())
     process = ControlProcess(config, files, Clock(), lambda *_, **__: None, stub)
     up = asyncio.Event()
     run = asyncio.create_task(process.run(lambda _: up.set(), lambda p: Operators(p).serve()))
     try:
         await up.wait()
-        await scene(process, stub, f"ws://127.0.0.1:{config.addresses[0][1]}")
+        await scenario(process, stub, f"ws://127.0.0.1:{config.addresses[0][1]}")
     finally:
         process.ending.set()
         assert await run == 0
     return stub
 
 
-async def step(process, n):
+async def propose(process, n):
     while process.core.leader < 0:  # until its own vote is on disk
         await asyncio.sleep(0)
     return await process.propose((Change(("partner", "p"), b"%d" % n),), "me", None)
 
 
-def test_those_that_watch_are_served_beside_the_others(tmp_path):
-    async def scene(process, stub, url):
-        where, more = f"{url}/watch", {"subprotocols": ["jsonrpc"]}
-        async with connect(where, **more) as one, connect(where, **more) as two:
+def test_watchers_receive_change_sets_also_after_a_restart(tmp_path):
+    async def before_restart(process, stub, url):
+        address, options = f"{url}/watch", {"subprotocols": ["jsonrpc"]}
+        async with connect(address, **options) as one, connect(address, **options) as two:
             assert [await one.recv(), await two.recv()] == ["hello", "hello"]
-            assert (await step(process, 1)).version == 1
+            assert (await propose(process, 1)).version == 1
             assert [await one.recv(), await two.recv()] == ["1", "1"]
             assert stub.current
             await two.send("bad")
             with pytest.raises(ConnectionClosed):
                 await two.recv()
-            assert two.close_code == 1008 and two.close_reason == "no manners"
+            assert two.close_code == 1008 and two.close_reason == "malformed"
             await one.send("thanks")
-            await stub.until("received", b"thanks")
-            await stub.until("closed", 2)
-        await stub.until("closed", 1)
+            await stub.wait_for("received", b"thanks")
+            await stub.wait_for("closed", 2)
+        await stub.wait_for("closed", 1)
         assert not stub.conns and not process.watchers
         with pytest.raises(InvalidStatus) as refused:
             await connect(f"{url}/else", subprotocols=["jsonrpc"])
         assert refused.value.response.status_code == 404
 
-    asyncio.run(played(tmp_path, scene))
+    asyncio.run(run_process(tmp_path, before_restart))
 
-    async def again(process, stub, url):
-        assert (await step(process, 2)).version == 2
-        # What it knew to be in force when it went; where it was too quick for that, what it found to be.
+    async def after_restart(process, stub, url):
+        assert (await propose(process, 2)).version == 2
+        # What its disk says is committed; if it ended before that was written, what it commits after the start.
         assert stub.calls[0] in (("jumped", 1, {("partner", "p"): (1, b"1")}), ("committed", 1))
-        await stub.until("committed", 2)
+        await stub.wait_for("committed", 2)
 
-    asyncio.run(played(tmp_path, again))
+    asyncio.run(run_process(tmp_path, after_restart))
 
 
-def test_a_connection_that_says_nothing_or_nonsense_harms_nobody(tmp_path):
-    async def scene(process, stub, url):
+def test_malformed_connection_is_closed_and_does_not_disturb_others(tmp_path):
+    async def scenario(process, stub, url):
         host, port = url.removeprefix("ws://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"\x00\xff" * 9_000 + b"\r\n\r\n")
-        assert await asyncio.wait_for(reader.read(), 20.0) is not None  # ended by the other side
+        assert await asyncio.wait_for(reader.read(), 20.0) is not None  # closed by the other side
         async with connect(f"{url}/control", subprotocols=["jsonrpc"]) as stranger:
             assert "control.hello" in await stranger.recv()
             await stranger.send("{}")
             with pytest.raises(ConnectionClosed):
                 await stranger.recv()
-        assert (await step(process, 1)).version == 1 and not process.lines
+        assert (await propose(process, 1)).version == 1 and not process.lines
 
-    asyncio.run(played(tmp_path, scene))
+    asyncio.run(run_process(tmp_path, scenario))
