--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -150,7 +150,7 @@
         self.now = now
         link = self.links.get(conn)
         if link is None:
-            self.out.append(c.AbortConn(conn))
+            self.out.append(c.AbortConnection(conn))
             return
         link.backend.dialing -= 1
         self._free(link)
@@ -180,14 +180,14 @@
             answer = link.reader.receive(data)
         except Malformed as problem:
             self.counts["spoilt_answers"] += 1
-            self.counts[f"spoilt: {problem.why[:40]}"] += 1
+            self.counts[f"spoilt: {problem.reason[:40]}"] += 1
             self._finish(link, i.Result.RESET)
             self._cut(link)
             return
         if answer is None:
             return
-        last = not answer.keep or link.reader.stray or link.unsent
-        self.counts["strays"] += link.reader.stray
+        last = not answer.keep or link.reader.unmatched or link.unsent
+        self.counts["strays"] += link.reader.unmatched
         self._finish(link, _result(answer), answer)
         if last:
             self._cut(link)
@@ -226,7 +226,7 @@
     def _place(self, job: c.Attempt | Probe) -> None:
         b = self.nodes.get(job.server)
         if b is None or not b.ready:
-            self._end(job, i.Result.MOOT)
+            self._end(job, i.Result.SUPERSEDED)
             return
         for link in [k for k in b.idle if not self._fresh(k)]:
             self._cut(link)
@@ -246,7 +246,7 @@
         while b.ready and len(b.waiting) > b.dialing + len(b.idle):
             if len(self.links) >= self.settings.most and not self._make_room():
                 self.counts["no_connection"] += 1
-                self._end(b.waiting.pop(), i.Result.MOOT)
+                self._end(b.waiting.pop(), i.Result.SUPERSEDED)
                 continue
             link = Link(0, b, self.now)
             link.conn = self.new_conn(self)
@@ -257,7 +257,7 @@
             self.out.append(c.Dial(link.conn, b.endpoint.host, b.endpoint.port, self.settings.connect_timeout_ms))
 
     def _fresh(self, link: Link) -> bool:
-        return self.now - link.idle_since < i.IDLE_PART * self.settings.idle_ms
+        return self.now - link.idle_since < i.IDLE_TIMEOUT_SHARE * self.settings.idle_ms
 
     def _make_room(self) -> bool:
         """All connections that may be open are: the longest idle one goes."""
@@ -289,7 +289,7 @@
                 b.idle.remove(link)
                 self._write(link, job)
             else:
-                self._end(job, i.Result.MOOT)
+                self._end(job, i.Result.SUPERSEDED)
 
     def _write(self, link: Link, job: c.Attempt | Probe) -> None:
         self.where[id(job)] = link
@@ -307,7 +307,7 @@
         where = self.where.get(id(job))
         if isinstance(where, Backend):
             where.waiting.remove(job)
-            self._end(job, i.Result.MOOT)
+            self._end(job, i.Result.SUPERSEDED)
         elif where is not None:
             self._finish(where, i.Result.CONNECT_FAILED if where.unsent else result)
             self._cut(where)
@@ -326,9 +326,9 @@
         if isinstance(job, Probe):
             self.ended.append(c.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
         elif answer is None:
-            self.ended.append(c.Ended(job, result))
+            self.ended.append(c.AttemptEnded(job, result))
         else:
-            self.ended.append(c.Ended(job, result, answer.body, _used(answer), load=load))
+            self.ended.append(c.AttemptEnded(job, result, answer.body, _used(answer), load=load))
 
     def _probe_late(self, probe: Probe) -> None:
         self._give_up(probe, i.Result.TIMEOUT)  # nothing, if it ended
@@ -336,7 +336,7 @@
     def _abandon(self, b: Backend) -> None:
         """Nothing more goes out on what is open or being opened; what waits never did."""
         while b.waiting:
-            self._end(b.waiting.popleft(), i.Result.MOOT)
+            self._end(b.waiting.popleft(), i.Result.SUPERSEDED)
         for link in sorted((k for k in b.links if k.state in (DIALING, IDLE)), key=lambda k: k.conn):
             b.dialing -= link.state is DIALING
             self._cut(link)
@@ -344,7 +344,7 @@
     def _cut(self, link: Link) -> None:
         """End a connection from this side, at once."""
         if link.state is not GONE:
-            self.out.append(c.AbortConn(link.conn))
+            self.out.append(c.AbortConnection(link.conn))
             self._drop(link)
 
     def _drop(self, link: Link) -> None:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -56,7 +56,7 @@
         )
 
     def _peers(self) -> Peers | None:
-        return Peers(self.settings.me, list(self.peers)) if self.settings.sharing.peers and self.peers else None
+        return Peers(self.settings.gateway, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
     def adopt(self, core: base.Core) -> None:
         core.parts.shared.adopt(self.settings)
@@ -65,7 +65,7 @@
         if core.peers is None or core.peers.numbers != {a: k for k, a in enumerate(self.peers)}:
             # A number means another ingress now, or none: a word from the old one's address would count as its.
             core.peers = core.parts.peers = self._peers()
-            core.orders.append(c.Peers(dict(enumerate(self.peers))))
+            core.orders.append(c.SetPeerAddresses(dict(enumerate(self.peers))))
         core.list.move(core.now, self.discovery)
 
 
@@ -90,5 +90,5 @@
         discovery=config.discovery,
         peers=config.peers,
         kept=budget.kept,
-        pool=PoolSettings(budget.backends, config.dial_ms, config.idle_ms),
+        pool=PoolSettings(budget.backends, config.dial_timeout_ms, config.idle_ms),
     )
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -3,7 +3,7 @@
 The engine decides nothing about admission, servers, time-outs or repeats; it keeps the ledger, so that what
 leaves it obeys the facts whatever the policy says: one final answer for each request, no attempt for a
 request that is finished, no more attempts than the settings allow. An action that the ledger can't carry out
-is answered to the policy as the bench answers it (an attempt ends as MOOT: it never ran) and counted.
+is answered to the policy as the bench answers it (an attempt ends as SUPERSEDED: it never ran) and counted.
 
 Times are milliseconds of one clock that never runs backwards. Equal calls give equal commands.
 """
@@ -44,7 +44,7 @@
 
     def attempted(self, now: float, attempt: c.Attempt, result: str) -> None: ...
 
-    def over(self, now: float, entry: Entry) -> c.Remark | None: ...
+    def over(self, now: float, entry: Entry) -> c.LogEvent | None: ...
 
 
 class Engine:
@@ -65,8 +65,8 @@
         self.settings, self.policy, self.now = settings, policy, now
         self.margin, self.boot, self.watch = margin_ms, boot, watch
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.ledger = Ledger(settings.limits.max_open)
-        self.out: deque[c.Command] = deque()
+        self.ledger = Ledger(settings.limits.max_open_requests)
+        self.out: deque[c.EngineCommand] = deque()
         self.timers: list[tuple[float, int, Callable[..., None], Any]] = []
         self.serial = 0
         self.counts: Counter[str] = Counter()
@@ -81,12 +81,12 @@
             i.Fail: self._fail,
             i.Cancel: self._cancel,
             i.SetTimer: self._set_timer,
-            i.Tell: lambda a: self.out.append(c.TellPeer(a.to, a.text)),
+            i.Tell: lambda a: self.out.append(c.SendPeerMessage(a.to, a.text)),
             i.Count: lambda a: self.out.append(c.CallCounter(a.name, a.amount, a.forget_after_ms)),
             i.Probe: lambda a: self.out.append(c.ProbeNode(a.server)),
             i.Watch: lambda a: self.out.append(c.WatchList(a.on)),
             i.Fetch: lambda a: self.out.append(c.FetchList()),
-            i.Log: lambda a: self.out.append(c.Remark("info", "policy", {"text": a.text[:500]})),
+            i.Log: lambda a: self.out.append(c.LogEvent("info", "policy", {"text": a.text[:500]})),
         }
 
     # --- time ------------------------------------------------------------------------------------
@@ -121,7 +121,7 @@
         """Other settings from now on; what was taken by the old ones is finished by the old ones."""
         self.now, self.settings, self.margin = now, settings, margin_ms
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.ledger.most = settings.limits.max_open
+        self.ledger.most = settings.limits.max_open_requests
         self._tell(settings)
 
     # --- what happened ---------------------------------------------------------------------------
@@ -209,7 +209,7 @@
         if entry.state is DONE:
             self._over(entry)
         if result is i.Result.OK and entry.state is not DONE:
-            self._answer(entry, c.Kind.SERVED, body)
+            self._answer(entry, c.AnswerKind.SERVED, body)
         event = i.Outcome(
             attempt.rid, attempt.number, attempt.server, result, now - attempt.sent_ms, entry.state is DONE,
             used, cost, load,
@@ -267,7 +267,7 @@
         last = traceback.extract_tb(error.__traceback__)[-1:]
         place = f"{last[0].name}:{last[0].lineno}" if last else ""
         fields = {"event": where, "error": f"{type(error).__name__}: {error}"[:300], "at": place}
-        self.out.append(c.Remark("error", "policy_fault", fields))
+        self.out.append(c.LogEvent("error", "policy_fault", fields))
 
     def _send(self, action: i.Send) -> None:
         entry = self.ledger.entries.get(action.id)
@@ -277,7 +277,7 @@
         n, until = len(entry.attempts), min(action.until_ms or entry.not_after, entry.not_after - ENDING_MS)
         attempt = c.Attempt(entry.rid, n, action.server, self.now, until, entry.payload, entry.cls)
         limits = self.settings.limits
-        twice = entry.out and not limits.second_copies
+        twice = entry.out and not limits.parallel_attempts
         gone = entry.state is not DONE and not self.present(entry.conn)
         if gone or entry.state is DONE or n >= limits.max_attempts or until <= self.now or twice:
             # Not to be carried out: it ends as never sent, told apart from this answer, as on the bench.
@@ -286,7 +286,7 @@
             else:
                 self._odd("send", action.id)
             entry.attempts.append(attempt)
-            attempt.ended, attempt.result, attempt.ended_ms = True, i.Result.MOOT.value, self.now
+            attempt.ended, attempt.result, attempt.ended_ms = True, i.Result.SUPERSEDED.value, self.now
             self.at(self.now, self._moot, attempt)
             return
         self.ledger.send(entry, attempt)
@@ -298,18 +298,18 @@
     def _moot(self, attempt: c.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.rid)
         settled = entry is None or entry.state is DONE
-        self._tell(i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.MOOT, 0.0, settled), entry)
+        self._tell(i.Outcome(attempt.rid, attempt.number, attempt.server, i.Result.SUPERSEDED, 0.0, settled), entry)
 
     def _refuse(self, action: i.Refuse) -> None:
         entry = self._open_entry(action.id, "refuse")
         if entry is not None:
-            self.refusals[action.why or "policy"] += 1
-            self._answer(entry, c.Kind.REFUSED, why=action.why or "policy", retry=action.stay_away_ms)
+            self.refusals[action.reason or "policy"] += 1
+            self._answer(entry, c.AnswerKind.REFUSED, why=action.reason or "policy", retry=action.retry_after_ms)
 
     def _fail(self, action: i.Fail) -> None:
         entry = self._open_entry(action.id, "fail")
         if entry is not None:
-            self._answer(entry, c.Kind.FAILED, why="attempts")
+            self._answer(entry, c.AnswerKind.FAILED, why="attempts")
 
     def _cancel(self, action: i.Cancel) -> None:
         entry = self.ledger.entries.get(action.id)
@@ -335,7 +335,7 @@
 
     def _odd(self, what: str, rid: str) -> None:
         self.counts[f"odd_{what}"] += 1
-        self.out.append(c.Remark("warning", "odd_action", {"action": what, "request": rid}))
+        self.out.append(c.LogEvent("warning", "odd_action", {"action": what, "request": rid}))
 
     # --- answers ---------------------------------------------------------------------------------
 
@@ -360,16 +360,16 @@
         """Answer a request that is not taken: it never comes before the policy."""
         self.now = now
         self.watch.turned_down(self.now, partner.name, ask.units, why)
-        self.counts[c.Kind.REFUSED] += 1
+        self.counts[c.AnswerKind.REFUSED] += 1
         self.refusals[why] += 1
-        self.out.append(c.Answer(conn, ref, c.Kind.REFUSED, None, why, retry))
+        self.out.append(c.Answer(conn, ref, c.AnswerKind.REFUSED, None, why, retry))
 
     def _answer_by_facts(self, entry: Entry, why: str) -> None:
         """The answer where the policy gave none: a refusal is true only if no attempt can have run."""
         ran = entry.may_have_run or any(not a.ended for a in entry.attempts)
         if not ran:
             self.refusals[why] += 1
-        self._answer(entry, c.Kind.FAILED if ran else c.Kind.REFUSED, why=why)
+        self._answer(entry, c.AnswerKind.FAILED if ran else c.AnswerKind.REFUSED, why=why)
 
     def _expire(self, attempt: c.Attempt) -> None:
         if not attempt.ended:
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -69,17 +69,17 @@
             order = orders.popleft()
             match order:
                 case o.SendTo():
-                    core.orders.append(c.SendTo(order.address, order.data))
+                    core.orders.append(c.SendDatagram(order.address, order.data))
                 case o.KeepFile():
                     core.orders.append(c.SaveFile(FILE, order.serial, order.data))
                 case o.Note():
-                    core.remark(c.Remark(order.level, order.cause, order.fields))
+                    core.remark(c.LogEvent(order.level, order.cause, order.fields))
                 case o.SeatChanged():
-                    core.remark(c.Remark("info", "number", {"number": order.number}))
+                    core.remark(c.LogEvent("info", "number", {"number": order.number}))
                 case o.ViewChanged():
                     self._peers(core)
                     self._present(core)
-                    core.remark(c.Remark("info", "view", {"view": self.fleet.view.number}))
+                    core.remark(c.LogEvent("info", "view", {"view": self.fleet.view.number}))
 
     # --- budgets ---------------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
                         "lent_ms": 0.0 if x.kept else round(x.lent_ms, 1), "owned_rate": x.owned.rate,
                         "owned_burst": x.owned.burst,
                     }  # fmt: skip
-                    core.orders.append(c.Remark("info", "part", fields))
+                    core.orders.append(c.LogEvent("info", "part", fields))
 
     def _settings(self, settings: i.Settings) -> None:
         self.ceilings = {p.name: p for p in settings.plans if p.ceiling_rate}
@@ -125,14 +125,14 @@
         """Settings as they hold among the members that there are: of numbers that nobody has none is a keeper."""
         self._settings(settings)
         seats = self.fleet.view.seats
-        return replace(settings, present=tuple(sorted(n for n, s in seats.items() if s.state == SEATED)))
+        return replace(settings, present_gateways=tuple(sorted(n for n, s in seats.items() if s.state == SEATED)))
 
     def _present(self, core: Core) -> None:
         core.engine.adopt(core.now, self.among(core.setup.settings), core.engine.margin)
 
     def _peers(self, core: Core) -> None:
         seats = self.fleet.view.seats
-        core.orders.append(c.Peers({n: s.address for n, s in seats.items() if n != self.number}))
+        core.orders.append(c.SetPeerAddresses({n: s.address for n, s in seats.items() if n != self.number}))
 
     def _look(self, core: Core) -> None:
         """Whether the number is still this process's own; and what it did, for the others."""
@@ -140,7 +140,7 @@
         if not self.fleet.leaving and self.given and self.fleet.seat() != self.number and not self.ended:
             # It may be another's by now: two that work under one number would each spend its parts.
             self.ended = True
-            core.remark(c.Remark("error", "number_lost", {"number": self.number}))
+            core.remark(c.LogEvent("error", "number_lost", {"number": self.number}))
             core.orders.append(c.EndProcess(f"number {self.number} is not surely its own any more"))
         pace = max(TELL_MS, self.fleet.members.count() / TOLD_PER_S * 1000)
         if core.now - self.told_at >= pace and not self.fleet.leaving:
@@ -188,8 +188,8 @@
 def _bucket(core: Core, name: str) -> tuple[int, int]:
     """Of the module's bucket of a partner's ceiling: what it had no room for in all, and what it has room for."""
     quota, key = getattr(core.engine.policy, "quota", None), crc32(name.encode())
-    if quota is None or (lent := quota.lent.get(key)) is None:
+    if quota is None or (lent := quota.leased_shares.get(key)) is None:
         return 0, 0
     c = quota.customers.get(key)
-    level = 0.0 if c is None else c.ceiling + lent.rate * (core.now - c.ceiling_at) / 1000
-    return int(lent.spilled * UNIT), int(max(0.0, lent.burst - level) * UNIT)
+    level = 0.0 if c is None else c.ceiling_tokens + lent.rate * (core.now - c.ceiling_refilled_at) / 1000
+    return int(lent.overflowed_tokens * UNIT), int(max(0.0, lent.burst - level) * UNIT)
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -58,13 +58,13 @@
             return
         if self._cut_off(node):
             self.counts["cut_off"] += 1
-            self._end(attempt, i.Result.MOOT)
+            self._end(attempt, i.Result.SUPERSEDED)
             return
         link = self._link_for(node)
         if link is None:
             # All connections that may be opened are full: the cap is this side's, and nothing was sent.
             self.counts["no_stream"] += 1
-            self._end(attempt, i.Result.MOOT)
+            self._end(attempt, i.Result.SUPERSEDED)
             return
         link.waiting[id(attempt)] = attempt
         self.where[id(attempt)] = link
@@ -219,7 +219,7 @@
             _, attempt = link.waiting.popitem(last=False)
             if cut_off or not self.wanted(attempt):
                 self.counts["cut_off"] += cut_off
-                self._end(attempt, i.Result.MOOT)
+                self._end(attempt, i.Result.SUPERSEDED)
                 continue
             link.serial += 1
             link.streams[link.serial] = attempt
@@ -272,7 +272,7 @@
         if link is None:
             return
         if link.waiting.pop(id(attempt), None) is not None:
-            self._end(attempt, i.Result.MOOT)  # never handed over: it never ran
+            self._end(attempt, i.Result.SUPERSEDED)  # never handed over: it never ran
             return
         number = next(n for n, a in link.streams.items() if a is attempt)
         del link.streams[number]
@@ -292,7 +292,7 @@
 
     def _end(self, attempt: c.Attempt, result: i.Result) -> None:
         self.where.pop(id(attempt), None)
-        self.ended.append(c.Ended(attempt, result))
+        self.ended.append(c.AttemptEnded(attempt, result))
 
     def _gone(self, link: Link, abort: bool = False) -> None:
         """A connection is over. What waited on it never ran; what was handed over may have."""
@@ -302,7 +302,7 @@
         self.links.pop(link.conn, None)
         if link in link.node.links:
             link.node.links.remove(link)
-        self.out.append(c.AbortConn(link.conn) if abort else c.CloseConn(link.conn, 100.0))
+        self.out.append(c.AbortConnection(link.conn) if abort else c.CloseConnection(link.conn, 100.0))
         for attempt in list(link.waiting.values()):
             self._end(attempt, i.Result.CONNECT_FAILED)
         for attempt in list(link.streams.values()):
@@ -319,7 +319,7 @@
         if writes:
             self.out.append(c.Write(link.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and link.state is not GONE:
-            self.out.append(c.CloseConn(link.conn, 100.0))
+            self.out.append(c.CloseConnection(link.conn, 100.0))
 
     def _probe_late(self, what: tuple[Link, int]) -> None:
         link, number = what
--- a/rushweir/rollout/storage.py
+++ b/rushweir/rollout/storage.py
@@ -23,12 +23,12 @@
 
 import msgpack
 
-from rushweir.frames import FrameError, Frames
+from rushweir.frames import FrameError, RecordFormat
 from rushweir.rollout.change_sets import MAX_CHANGE_SET_BYTES, ChangeSetError
 from rushweir.rollout.log import LOG_LIMITS, Entry, Snapshot, decode_entry
 
 VERSION = 1
-FRAMES = Frames(b"RWSTEPS" + bytes([VERSION]), 4 * MAX_CHANGE_SET_BYTES)
+FRAMES = RecordFormat(b"RWSTEPS" + bytes([VERSION]), 4 * MAX_CHANGE_SET_BYTES)
 Records = Iterable[list[Any]]
 WRITE_CHUNK_BYTES = 65_536  # of a file that are generated at once, plus one record
 
@@ -141,9 +141,9 @@
 def decode_file(data: bytes, me: int, count: int) -> PersistentState:
     """Return the state in the file of process ``me`` of ``count``. Raises StorageError."""
     try:
-        valid_bytes = FRAMES.good_end(data)
+        valid_bytes = FRAMES.valid_end(data)
     except FrameError as problem:
-        raise StorageError(f"byte {problem.at}: {problem}") from None
+        raise StorageError(f"byte {problem.offset}: {problem}") from None
     state = PersistentState(me, count, valid_bytes=valid_bytes)
     reader = _Reader()
     begin = len(FRAMES.magic)
--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_owed.py
@@ -14,9 +14,9 @@
 from rushweir.edge.front import ClientConnection
 from rushweir.ingress.clients import Clients
 from rushweir.ingress.engine import Engine
-from rushweir.policy.decide import Policy
+from rushweir.policy.gateway_policy import Policy
 from rushweir.policy.quota import Quota
-from rushweir.state import Parts
+from rushweir.state import Partitions
 from tests.edge.owed import Orders
 
 QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
@@ -25,7 +25,7 @@
 HUNT = settings(SURE, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
 
 
-def test_nothing_owed_is_lost():
+def test_every_request_is_answered_under_any_order_of_events():
     run_state_machine_as_test(Orders, settings=SURE)
 
 
@@ -45,23 +45,23 @@
 
 
 def repeats_all(monkeypatch):
-    real = Policy.again
+    real = Policy.retry_or_finish
 
     def again(self, t):
-        t.ran = None
+        t.first_executed = None
         return real(self, t)
 
-    monkeypatch.setattr(Policy, "again", again)
+    monkeypatch.setattr(Policy, "retry_or_finish", again)
 
 
 def repeats_late(monkeypatch):
-    real = Policy.again
+    real = Policy.retry_or_finish
 
     def again(self, t):
-        t.cls = replace(t.cls, window_ms=1e9)
+        t.request_class = replace(t.request_class, window_ms=1e9)
         return real(self, t)
 
-    monkeypatch.setattr(Policy, "again", again)
+    monkeypatch.setattr(Policy, "retry_or_finish", again)
 
 
 def deaf_to_drains(monkeypatch):
@@ -83,7 +83,7 @@
 
 
 def forgets_halves(monkeypatch):
-    monkeypatch.setattr(ClientConnection, "engaged", property(lambda self: self.current is not None))
+    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.current is not None))
 
 
 def sends_for_nobody(monkeypatch):
@@ -102,7 +102,7 @@
 
 
 def keeps_room(monkeypatch):
-    monkeypatch.setattr(Parts, "give_back", lambda self, grant: None)
+    monkeypatch.setattr(Partitions, "release", lambda self, grant: None)
 
 
 def keeps_places(monkeypatch):
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("plant", PLANTED, ids=lambda p: p.__name__)
-def test_a_planted_fault_is_found(monkeypatch, plant):
+def test_injected_fault_is_detected(monkeypatch, plant):
     plant(monkeypatch)
     with pytest.raises(AssertionError) as found:
         run_state_machine_as_test(Orders, settings=HUNT)
--- a/tests/edge/test_pages.py
+++ b/tests/edge/test_pages.py
@@ -1,4 +1,4 @@
-"""docs/endings.md names tests that there are."""
+"""Tests that docs/endings.md names existing tests only."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def named(text):
-    """File and name of each test in the page; a name without a file is of the one named before it in its line."""
+    """Yields file and name of each test in the page. A name without a file is of the last file in its line."""
     for line in text.splitlines():
         file = ""
         for found in NAMED.finditer(line):
@@ -23,7 +23,7 @@
                 yield file, found[2]
 
 
-def test_each_test_that_the_page_names_is_there():
+def test_every_test_named_in_the_page_exists():
     found = list(named((ROOT / "docs" / "endings.md").read_text()))
     assert len(found) > 70
     for file, name in found:
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -18,7 +18,7 @@
 from rushweir.daemon.reloading import Reloading
 from rushweir.fronts.credentials import digest
 from rushweir.ingress.asks import Partner
-from rushweir.ingress.commands import Kind
+from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
 from rushweir.rollout.ceilings import Between
 from rushweir.rollout.change_sets import Change
@@ -76,7 +76,7 @@
         held = self.core.setup.credentials
         rules = self.core.setup.front.costs
         return (
-            dict(objects(self.config)), {n: held.named(n) for n in (*NAMES, "x")}, held.by_digest,
+            dict(objects(self.config)), {n: held.partner_named(n) for n in (*NAMES, "x")}, held.by_digest,
             dict(usage.index.keys() and {n: usage.row(n)["plan"] for n in usage.index}), usage.sorted,
             {r.name: r for r in rules.routes} if rules else None, self.core.setup.settings, dict(held.users),
         )  # fmt: skip
@@ -97,7 +97,7 @@
     g = Ingress(text_of("a", "b"))
     one, other = g.client("a"), g.client("b")
     before, front, setup = other.partner, other.settings, g.core.setup
-    g.core.watch.usage.count(0.0, "a", Kind.SERVED, 2.0)
+    g.core.watch.usage.count(0.0, "a", AnswerKind.SERVED, 2.0)
     g.events.clear()
     changes = g.step(put("a", "new", "tin"))
     assert (one.partner.plan, other.partner) == ("tin", before) and other.partner is before
@@ -135,7 +135,7 @@
     g = Ingress(text_of("a", "b"))
     one, other = g.client("a"), g.client("b")
     g.step(drop("partner", "a"))
-    assert (one.leaving, other.leaving) == ("partner_gone", "")
+    assert (one.refusal_reason, other.refusal_reason) == ("partner_gone", "")
     assert g.client("a").partner is None and "a" not in g.core.watch.usage.index
     g.core.advance(g.now + 200.0)
     assert g.core.counts["partners_gone"] == 1
@@ -328,7 +328,11 @@
     own.write_text(HEAD)
     made = live.assemble(own, list(objects(g.config)), 1, Between.load(g.config.between.dump()))
     assert made.ways == g.config.ways and set(made.ways) == {"a"} and made.made == g.config.made
-    assert made.setup().credentials.named("a") == g.core.setup.credentials.named("a") != Partner("a", "gold", 2, 0)
+    assert (
+        made.setup().credentials.partner_named("a")
+        == g.core.setup.credentials.partner_named("a")
+        != Partner("a", "gold", 2, 0)
+    )
 
 
 def test_a_reload_of_the_own_file_leaves_the_objects_and_takes_none(tmp_path):
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -66,12 +66,12 @@
         self.take(*live.settled(self.config, version), now)
 
     def ask(self, name: str, now: float) -> None:
-        p = self.core.setup.credentials.named(name)
+        p = self.core.setup.credentials.partner_named(name)
         if p is not None:
             self.world.serial += 1
             rid = f"{self.me}-{self.world.serial}"
             self.world.whose[rid] = name
-            self.policy.room.finished.add(1e4, now)
+            self.policy.capacity.finished.add(1e4, now)
             self.act(self.policy.handle(now, i.Request(rid, "c", p.plan, name, now + 2000, 1.0, p.spread, p.first)))
 
     def act(self, actions: list[i.Action]) -> None:
@@ -256,11 +256,11 @@
     # The old door 0 goes on with its part and the keeper's; 1 has what it owns of both, 2 nothing yet.
     assert over(w.spent["a"], 40, 20) <= 1
     assert w.gateways[2].config.ways["a"].plan == CLOSED and w.gateways[1].config.ways["a"].plan.startswith(CLOSED)
-    assert w.gateways[1].core.setup.credentials.named("a").spread == 1
+    assert w.gateways[1].core.setup.credentials.partner_named("a").spread == 1
     w.gateways[0].step([partner("a", "tin", 1, 2)], 1, w.now)
     for g in w.gateways:
         g.settled(1, w.now)
-        assert g.core.setup.credentials.named("a").plan == "tin"
+        assert g.core.setup.credentials.partner_named("a").plan == "tin"
 
 
 # --- the decisions alone --------------------------------------------------------------------------------
@@ -306,7 +306,7 @@
     policy.handle(0.0, i.Members(i.Scope.FULL, (i.Server("n:1"),)))
     for units in (0.0, 1e-9, 1.0):
         assert isinstance(policy.handle(5000.0, i.Request(str(units), "c", CLOSED, "x", 9000.0, units))[0], i.Refuse)
-        assert not policy.quota.keep(77, shut.plans[200], units, 5000.0, (1, 1), 1)
+        assert not policy.quota.decide_as_owner(77, shut.plans[200], units, 5000.0, (1, 1), 1)
     assert isinstance(policy.handle(5000.0, i.Request("y", "c", "a", "y", 9000.0))[0], i.Send)
 
 
@@ -324,7 +324,7 @@
     b = Between().changed(1, {f"c{k}": (0, 2) for k in range(12)})
     ways, made = ceilings.acting(b, {f"c{k}": (f"p{k}", (0, 3)) for k in range(12)}, plans, 0, 4, 1.0)
     assert len(made) == 8 and sum(w == Acting(CLOSED, 0) for w in ways.values()) == 5
-    assert (made[0].ceiling_rate, made[0].open_limit) == (3.0, 1) and made[-1].name == CLOSED
+    assert (made[0].ceiling_rate, made[0].max_in_flight) == (3.0, 1) and made[-1].name == CLOSED
 
 
 def test_slots_are_checked():
