--- a/tests/lanes.py
+++ b/tests/lanes.py
@@ -27,7 +27,7 @@
         "tests/rollout/test_control_change.py",
         "tests/rollout/test_control_watch.py",
         "tests/rollout/test_control_processes.py",
-        "tests/rollout/test_control_fold_processes.py",
+        "tests/rollout/test_log_compaction_processes.py",
         "tests/rollout/test_rollout_processes.py",
         "tests/fleet/test_serve.py",
         "tests/daemon/test_console.py",
--- a/tests/rollout/rollout_stage.py
+++ b/tests/rollout/rollout_stage.py
@@ -13,7 +13,7 @@
 
 from rushweir.lab.records import Recorder
 from rushweir.lab.standins.nodelist import NodeList, wall_offset_ms
-from tests.rollout.control_stage import ALL, WITHIN_S, Stage
+from tests.rollout.control_harness import ALL, TIMEOUT_S, ControlHarness
 
 SETTINGS = """\
 ingress {number} {count}
@@ -42,7 +42,7 @@
 
 class Site:
     def __init__(self, folder: Path) -> None:
-        self.folder, self.stage = folder, Stage(folder)
+        self.folder, self.stage = folder, ControlHarness(folder)
         self.list = NodeList(Recorder(None), wall_offset_ms())
         self.doors: dict[str, asyncio.subprocess.Process] = {}
         self.lines: dict[str, list[dict[str, Any]]] = {}
@@ -54,7 +54,7 @@
         await self.list.listen()
         (self.folder / "watch.key").write_bytes(b"w" * 32)
         (self.folder / "watch.key").chmod(0o600)
-        await self.stage.up(more="watch-key-file watch.key\n")
+        await self.stage.start_all(more="watch-key-file watch.key\n")
         controls = "".join(f"    control 127.0.0.1:{port}\n" for port in self.stage.ports)
         for name in names:
             number, count = (numbers or {}).get(name, (0, 1))
@@ -71,16 +71,16 @@
     async def change(self, *rows: tuple[str, str, bytes | None], by: int | None = None) -> int:
         """The number of the step; by one that a majority hears."""
         changes = [[kind, name, None if data is None else b64encode(data).decode()] for kind, name, data in rows]
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 for k in ALL if by is None else (by,):
                     if self.stage.processes[k].returncode is None:
                         told = await self.stage.ask(k, "propose", changes=changes, author="test")
                         if told["number"] is not None:
                             return told["number"]
-                async with self.stage.told:  # an election is told by lines
+                async with self.stage.line_read:  # an election is told by lines
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self.stage.told.wait(), 0.2)
+                        await asyncio.wait_for(self.stage.line_read.wait(), 0.2)
 
     # --- ingresses -------------------------------------------------------------------------------
 
@@ -114,7 +114,7 @@
 
         async with self.told:
             try:
-                await asyncio.wait_for(self.told.wait_for(lambda: find() is not None), WITHIN_S)
+                await asyncio.wait_for(self.told.wait_for(lambda: find() is not None), TIMEOUT_S)
             except TimeoutError:
                 raise AssertionError(f"{name}: no {event} {fields}: {self.lines[name]} {self.texts[name]}") from None
         found = find()
@@ -128,7 +128,7 @@
     async def in_force(self, version: int, *names: str) -> None:
         """Until these act on this version; what is coalesced is told by its last."""
         for name in names:
-            async with asyncio.timeout(WITHIN_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while (await self.status(name))["rollout"]["version"] < version:
                     async with self.told:
                         with contextlib.suppress(TimeoutError):
@@ -138,7 +138,7 @@
         reader, writer = await asyncio.open_unix_connection(str(self.folder / f"{name}.sock"), limit=1 << 24)
         try:
             writer.write(orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}) + b"\n")
-            told = orjson.loads(await asyncio.wait_for(reader.readline(), WITHIN_S))
+            told = orjson.loads(await asyncio.wait_for(reader.readline(), TIMEOUT_S))
             assert "error" not in told, told
             return told["result"]
         finally:
@@ -149,7 +149,7 @@
 
     async def seen(self, k: int, true: Any) -> dict[str, Any]:
         """What a control process says of ingresses, as soon as this is true of it."""
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 told = await self.stage.ask(k, "status")
                 if true({row["ingress"]: row for row in told["ingresses"]}):
@@ -166,7 +166,7 @@
                 process.kill()
             await process.wait()
         await asyncio.gather(*self.readers)
-        await self.stage.down()
+        await self.stage.stop_all()
         self.list.down()
 
 
--- a/tests/rollout/test_control_change.py
+++ b/tests/rollout/test_control_change.py
@@ -9,7 +9,7 @@
 
 from rushweir.config import ConfigError
 from rushweir.config.control import load_control
-from tests.rollout.control_stage import Stage
+from tests.rollout.control_harness import ControlHarness
 
 SETTINGS = """\
 ingress 0 1
@@ -53,15 +53,15 @@
 
 def test_what_differs_is_one_step(tmp_path):
     async def play():
-        stage = Stage(tmp_path)
+        stage = ControlHarness(tmp_path)
         file = tmp_path / "a.conf"
         try:
-            await stage.up()
-            leader = await stage.line((0, 1, 2), "leads")
+            await stage.start_all()
+            leader = await stage.wait_for_event((0, 1, 2), "leads")
             file.write_text(settings())
             out, code = await rushweir(stage, 0, "change", "apply", str(file))
             assert (out, code) == ("step 1: 3 objects changed\n", 0)
-            await stage.all_have(1)
+            await stage.wait_for_version(1)
             out, code = await rushweir(stage, 1, "change", "apply", str(file))
             assert (out, code) == ("nothing differs from step 1\n", 0)
             file.write_text(settings(burst=9, more=OTHER))
@@ -69,7 +69,7 @@
             assert (out.split("\n"), code) == (["~ plan basic", "+ partner other", ""], 0)
             out, code = await rushweir(stage, 2, "change", "apply", str(file))
             assert (out, code) == ("step 2: 2 objects changed\n", 0)
-            await stage.all_have(2)
+            await stage.wait_for_version(2)
             found = await stage.objects(leader)
             assert found["other"][0] == found["basic"][0] == 2 and found["acme"][0] == 1
             # A second operator, whose files were made on step 1: the plan has changed since.
@@ -79,7 +79,7 @@
             file.write_text(settings(burst=9))  # what stands in no file is taken out
             out, code = await rushweir(stage, 0, "change", "apply", str(file))
             assert (out, code) == ("step 3: 1 objects changed\n", 0)
-            await stage.all_have(3)
+            await stage.wait_for_version(3)
             assert "other" not in await stage.objects(leader)
             out, code = await rushweir(stage, 1, "change", "status")
             assert code == 0 and f"{leader} leads, step 3 in force" in out
@@ -89,7 +89,7 @@
             for k in (0, 1, 2):
                 if k != leader:
                     await stage.kill(k)
-            await stage.line([leader], "no_majority")
+            await stage.wait_for_event([leader], "no_majority")
             file.write_text(settings())
             out, code = await rushweir(stage, leader, "change", "apply", str(file))
             assert code == 1 and "refused: no majority" in out
@@ -99,7 +99,7 @@
             out, code = await rushweir(stage, leader, "change", "status")
             assert code == 3
         finally:
-            await stage.down()
+            await stage.stop_all()
 
     asyncio.run(play())
 
--- a/tests/rollout/test_control_fold_processes.py
+++ b/tests/rollout/test_log_compaction_processes.py
@@ -10,14 +10,14 @@
 from rushweir.rollout import storage
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES
 from rushweir.rollout.log import LOG_LIMITS, Snapshot, apply_change_set
-from tests.rollout.control_stage import Stage
+from tests.rollout.control_harness import ControlHarness
 
 ALL = (0, 1, 2)
 NAMES = 14  # objects of a step, all of the largest size
 FULL = 2 * LOG_LIMITS.bytes // (NAMES * MAX_OBJECT_BYTES) + 2  # steps that make a log full
 
 
-async def change(s: Stage, k: int) -> int | None:
+async def change(s: ControlHarness, k: int) -> int | None:
     """One step, asked of this process; None where none confirms it."""
     rows = [["partner", f"p{n}", b64encode(os.urandom(MAX_OBJECT_BYTES)).decode()] for n in range(NAMES)]
     try:
@@ -26,7 +26,7 @@
         return None
 
 
-async def killed_as_it_folds(s: Stage, k: int, confirmed: set[int]) -> None:
+async def killed_as_it_folds(s: ControlHarness, k: int, confirmed: set[int]) -> None:
     """Changes at another until this one makes its file anew; they go on while it is killed, and until it is back."""
     begun = (await s.ask(k, "status"))["floor"]
     asked: set[asyncio.Task] = set()
@@ -47,20 +47,20 @@
     while number is None:  # who leads may have been the one
         number = await change(s, other)
     confirmed.add(number)
-    await s.all_have(number)
+    await s.wait_for_version(number)
 
 
 def test_processes_that_are_killed_as_they_fold_lose_nothing(tmp_path):
     async def play() -> None:
-        s, confirmed = Stage(tmp_path), set()
-        await s.up()
+        s, confirmed = ControlHarness(tmp_path), set()
+        await s.start_all()
         try:
-            await s.line(ALL, "leads")
+            await s.wait_for_event(ALL, "leads")
             for k in ALL:
                 await killed_as_it_folds(s, k, confirmed)
         finally:
-            await s.down()
-        whole = [storage.decode_file(s.log(k).read_bytes(), k, 3) for k in ALL]
+            await s.stop_all()
+        whole = [storage.decode_file(s.log_file(k).read_bytes(), k, 3) for k in ALL]
         last = max(confirmed)
         assert last >= FULL
         steps = {e.version: e.change_set for kept in whole for e in kept.entries if e.change_set is not None}
