--- a/tests/rollout/test_control_change.py
+++ b/tests/rollout/test_control_change.py
@@ -1,4 +1,4 @@
-"""``rushweir change`` against real control processes, and the settings file of one."""
+"""``rushweir change`` against real control processes, and the settings file of a control process."""
 
 from __future__ import annotations
 
@@ -38,73 +38,73 @@
     return SETTINGS.format(burst=burst, digest=digest, more=more)
 
 
-OTHER = "partner other {{\n    plan basic\n    credential sha256:{}\n}}\n".format("b" * 64)
+OTHER_PARTNER = "partner other {{\n    plan basic\n    credential sha256:{}\n}}\n".format("b" * 64)
 
 
-async def rushweir(stage, k, *words):
-    """What a command of an operator prints, and its exit code."""
+async def rushweir(harness, k, *arguments):
+    """Run a command at process ``k``; return its output and exit code."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rushweir", *words, "--socket", str(stage.folder / f"{k}.sock"),
+        sys.executable, "-m", "rushweir", *arguments, "--socket", str(harness.folder / f"{k}.sock"),
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
     )  # fmt: skip
     out, _ = await process.communicate()
     return out.decode(), process.returncode
 
 
-def test_what_differs_is_one_step(tmp_path):
-    async def play():
-        stage = ControlHarness(tmp_path)
+def test_apply_makes_one_change_set_of_what_differs(tmp_path):
+    async def run():
+        harness = ControlHarness(tmp_path)
         file = tmp_path / "a.conf"
         try:
-            await stage.start_all()
-            leader = await stage.wait_for_event((0, 1, 2), "leads")
+            await harness.start_all()
+            leader = await harness.wait_for_event((0, 1, 2), "leads")
             file.write_text(settings())
-            out, code = await rushweir(stage, 0, "change", "apply", str(file))
+            out, code = await rushweir(harness, 0, "change", "apply", str(file))
             assert (out, code) == ("step 1: 3 objects changed\n", 0)
-            await stage.wait_for_version(1)
-            out, code = await rushweir(stage, 1, "change", "apply", str(file))
+            await harness.wait_for_version(1)
+            out, code = await rushweir(harness, 1, "change", "apply", str(file))
             assert (out, code) == ("nothing differs from step 1\n", 0)
-            file.write_text(settings(burst=9, more=OTHER))
-            out, code = await rushweir(stage, 2, "change", "apply", str(file), "--dry-run")
+            file.write_text(settings(burst=9, more=OTHER_PARTNER))
+            out, code = await rushweir(harness, 2, "change", "apply", str(file), "--dry-run")
             assert (out.split("\n"), code) == (["~ plan basic", "+ partner other", ""], 0)
-            out, code = await rushweir(stage, 2, "change", "apply", str(file))
+            out, code = await rushweir(harness, 2, "change", "apply", str(file))
             assert (out, code) == ("step 2: 2 objects changed\n", 0)
-            await stage.wait_for_version(2)
-            found = await stage.objects(leader)
+            await harness.wait_for_version(2)
+            found = await harness.objects(leader)
             assert found["other"][0] == found["basic"][0] == 2 and found["acme"][0] == 1
-            # A second operator, whose files were made on step 1: the plan has changed since.
+            # A second operator whose files were made on version 1: the plan has changed since.
             file.write_text(settings(burst=7))
-            out, code = await rushweir(stage, 0, "change", "apply", str(file), "--base", "1", "--author", "ann")
+            out, code = await rushweir(harness, 0, "change", "apply", str(file), "--base", "1", "--author", "ann")
             assert code == 1 and out.startswith("refused: p") and "changed by change set 2" in out
-            file.write_text(settings(burst=9))  # what stands in no file is taken out
-            out, code = await rushweir(stage, 0, "change", "apply", str(file))
+            file.write_text(settings(burst=9))  # an object that is in no file is deleted
+            out, code = await rushweir(harness, 0, "change", "apply", str(file))
             assert (out, code) == ("step 3: 1 objects changed\n", 0)
-            await stage.wait_for_version(3)
-            assert "other" not in await stage.objects(leader)
-            out, code = await rushweir(stage, 1, "change", "status")
+            await harness.wait_for_version(3)
+            assert "other" not in await harness.objects(leader)
+            out, code = await rushweir(harness, 1, "change", "status")
             assert code == 0 and f"{leader} leads, step 3 in force" in out
             file.write_text(settings(burst="many"))
-            out, code = await rushweir(stage, 0, "change", "apply", str(file))
+            out, code = await rushweir(harness, 0, "change", "apply", str(file))
             assert code == 2 and f"{file}:13:11: " in out
             for k in (0, 1, 2):
                 if k != leader:
-                    await stage.kill(k)
-            await stage.wait_for_event([leader], "no_majority")
+                    await harness.kill(k)
+            await harness.wait_for_event([leader], "no_majority")
             file.write_text(settings())
-            out, code = await rushweir(stage, leader, "change", "apply", str(file))
+            out, code = await rushweir(harness, leader, "change", "apply", str(file))
             assert code == 1 and "refused: no majority" in out
-            out, code = await rushweir(stage, leader, "change", "status")
+            out, code = await rushweir(harness, leader, "change", "status")
             assert code == 1 and "no majority: it goes on with what it has" in out
-            await stage.kill(leader)
-            out, code = await rushweir(stage, leader, "change", "status")
+            await harness.kill(leader)
+            out, code = await rushweir(harness, leader, "change", "status")
             assert code == 3
         finally:
-            await stage.stop_all()
+            await harness.stop_all()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-GOOD = """\
+VALID = """\
 control 1
 process 0 127.0.0.1:7400
 process 1 127.0.0.1:7401
@@ -122,15 +122,15 @@
     return load_control(tmp_path / "control.conf")
 
 
-def test_a_settings_file_is_read(tmp_path):
-    found = load(tmp_path, GOOD)
+def test_valid_settings_file_is_loaded(tmp_path):
+    found = load(tmp_path, VALID)
     assert (found.me, found.count, found.key) == (1, 3, b"k" * 32)
     assert found.addresses == (("127.0.0.1", 7400), ("127.0.0.1", 7401), ("::1", 7402))
     assert found.state == tmp_path / "state" and found.socket == tmp_path / "control.sock"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("control 1", "control 3", "1:1: control: 3 is no process"),
         ("control 1\n", "", "1:1: control: is missing"),
@@ -147,14 +147,14 @@
         ("state state", "state }", "5:7: "),
     ],
 )
-def test_what_is_wrong_with_it_is_told_with_its_place(tmp_path, old, new, says):
+def test_error_in_the_settings_file_names_line_and_column(tmp_path, old, new, message):
     with pytest.raises(ConfigError) as problem:
-        load(tmp_path, GOOD.replace(old, new))
-    assert f"{tmp_path}/control.conf:{says}" in str(problem.value)
+        load(tmp_path, VALID.replace(old, new))
+    assert f"{tmp_path}/control.conf:{message}" in str(problem.value)
 
 
-def test_its_key_is_a_secret(tmp_path):
+def test_key_file_must_be_secret_and_long_enough(tmp_path):
     with pytest.raises(ConfigError, match="key-file: .* can be read by others"):
-        load(tmp_path, GOOD, mode=0o644)
+        load(tmp_path, VALID, mode=0o644)
     with pytest.raises(ConfigError, match="key-file: 16 bytes at least"):
-        load(tmp_path, GOOD, key=b"short\n")
+        load(tmp_path, VALID, key=b"short\n")
--- a/tests/rollout/test_log_compaction_processes.py
+++ b/tests/rollout/test_log_compaction_processes.py
@@ -1,4 +1,4 @@
-"""Three processes of ``rushweir control`` whose logs are folded, each killed while its file is being made anew."""
+"""Three processes of ``rushweir control`` whose logs are compacted, each killed while its file is rewritten."""
 
 from __future__ import annotations
 
@@ -13,69 +13,72 @@
 from tests.rollout.control_harness import ControlHarness
 
 ALL = (0, 1, 2)
-NAMES = 14  # objects of a step, all of the largest size
-FULL = 2 * LOG_LIMITS.bytes // (NAMES * MAX_OBJECT_BYTES) + 2  # steps that make a log full
+OBJECTS = 14  # in a change set, all of the largest size
+CHANGE_SETS_OF_FULL_LOG = 2 * LOG_LIMITS.bytes // (OBJECTS * MAX_OBJECT_BYTES) + 2
 
 
-async def change(s: ControlHarness, k: int) -> int | None:
-    """One step, asked of this process; None where none confirms it."""
-    rows = [["partner", f"p{n}", b64encode(os.urandom(MAX_OBJECT_BYTES)).decode()] for n in range(NAMES)]
+async def change(harness: ControlHarness, k: int) -> int | None:
+    """Propose a change set to this process; return its version, None if it is not confirmed."""
+    rows = [["partner", f"p{n}", b64encode(os.urandom(MAX_OBJECT_BYTES)).decode()] for n in range(OBJECTS)]
     try:
-        return (await s.ask(k, "propose", changes=rows, author="me"))["number"]
+        return (await harness.ask(k, "propose", changes=rows, author="me"))["number"]
     except (AssertionError, OSError):  # it was killed
         return None
 
 
-async def killed_as_it_folds(s: ControlHarness, k: int, confirmed: set[int]) -> None:
-    """Changes at another until this one makes its file anew; they go on while it is killed, and until it is back."""
-    begun = (await s.ask(k, "status"))["floor"]
-    asked: set[asyncio.Task] = set()
+async def kill_during_compaction(harness: ControlHarness, k: int, confirmed: set[int]) -> None:
+    """Propose to another process until this one rewrites its file; go on while it is killed, and until it is back."""
+    snapshot_version = (await harness.ask(k, "status"))["floor"]
+    proposals: set[asyncio.Task] = set()
     other = (k + 1) % 3
-    while not (s.folder / f"state-{k}" / HALF_MADE).exists() and (await s.ask(k, "status"))["floor"] == begun:
-        if len(asked) < 4:
-            asked.add(asyncio.create_task(change(s, other)))
-        done, asked = await asyncio.wait(asked, timeout=0.001)
+    while (
+        not (harness.folder / f"state-{k}" / HALF_MADE).exists()
+        and (await harness.ask(k, "status"))["floor"] == snapshot_version
+    ):
+        if len(proposals) < 4:
+            proposals.add(asyncio.create_task(change(harness, other)))
+        done, proposals = await asyncio.wait(proposals, timeout=0.001)
         confirmed |= {task.result() for task in done if task.result()}
-    await s.kill(k)
-    confirmed |= {number for number in await asyncio.gather(*asked) if number}
-    half = s.folder / f"state-{k}" / HALF_MADE
+    await harness.kill(k)
+    confirmed |= {number for number in await asyncio.gather(*proposals) if number}
+    half = harness.folder / f"state-{k}" / HALF_MADE
     half.write_bytes(b"left of the one that was killed" + (half.read_bytes() if half.exists() else b""))
-    await s.start(k)
-    # It is gone; where the log is still full there may be the next one's already.
+    await harness.start(k)
+    # It is removed; if the log is still full, the file of the next compaction may exist already.
     assert not half.exists() or not half.read_bytes().startswith(b"left")
     number = None
-    while number is None:  # who leads may have been the one
-        number = await change(s, other)
+    while number is None:  # the killed process may have been the leader
+        number = await change(harness, other)
     confirmed.add(number)
-    await s.wait_for_version(number)
+    await harness.wait_for_version(number)
 
 
-def test_processes_that_are_killed_as_they_fold_lose_nothing(tmp_path):
-    async def play() -> None:
-        s, confirmed = ControlHarness(tmp_path), set()
-        await s.start_all()
+def test_kill_during_compaction_loses_nothing_confirmed(tmp_path):
+    async def run() -> None:
+        harness, confirmed = ControlHarness(tmp_path), set()
+        await harness.start_all()
         try:
-            await s.wait_for_event(ALL, "leads")
+            await harness.wait_for_event(ALL, "leads")
             for k in ALL:
-                await killed_as_it_folds(s, k, confirmed)
+                await kill_during_compaction(harness, k, confirmed)
         finally:
-            await s.stop_all()
-        whole = [storage.decode_file(s.log_file(k).read_bytes(), k, 3) for k in ALL]
+            await harness.stop_all()
+        states = [storage.decode_file(harness.log_file(k).read_bytes(), k, 3) for k in ALL]
         last = max(confirmed)
-        assert last >= FULL
-        steps = {e.version: e.change_set for kept in whole for e in kept.entries if e.change_set is not None}
-        objects = [objects_at(kept.snapshot, steps, last) for kept in whole]
-        assert objects[0] == objects[1] == objects[2] and len(objects[0]) == NAMES
-        for kept in whole:  # none of the confirmed is left out, and none is another
-            numbers = {e.version for e in kept.entries if e.change_set is not None}
-            assert all(n <= kept.snapshot.version or n in numbers for n in confirmed)
-            assert all(e.change_set is None or e.change_set == steps[e.version] for e in kept.entries)
+        assert last >= CHANGE_SETS_OF_FULL_LOG
+        change_sets = {e.version: e.change_set for state in states for e in state.entries if e.change_set is not None}
+        objects = [objects_at(state.snapshot, change_sets, last) for state in states]
+        assert objects[0] == objects[1] == objects[2] and len(objects[0]) == OBJECTS
+        for state in states:  # each confirmed change set is there, and equal everywhere
+            versions = {e.version for e in state.entries if e.change_set is not None}
+            assert all(n <= state.snapshot.version or n in versions for n in confirmed)
+            assert all(e.change_set is None or e.change_set == change_sets[e.version] for e in state.entries)
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def objects_at(base: Snapshot, steps: dict, last: int) -> dict:
-    objects = dict(base.objects)
-    for n in range(base.version + 1, last + 1):
-        apply_change_set(objects, steps[n])
+def objects_at(snapshot: Snapshot, change_sets: dict, last: int) -> dict:
+    objects = dict(snapshot.objects)
+    for n in range(snapshot.version + 1, last + 1):
+        apply_change_set(objects, change_sets[n])
     return objects
