--- a/rushweir/lab/sim/control_days.py
+++ b/rushweir/lab/sim/control_days.py
@@ -1,17 +1,18 @@
-"""Random days of control processes: a script of faults drawn from a seed, operators who change settings meanwhile,
-and what must hold looked at after each turn:
-
-    one number     two different steps are never told under one number, nor a number left out
-    confirmed      what is answered with a number is on the disks of a majority then, and was told
-    two operators  no step that changed one of the same objects lies between a change's base and its number
-    own term       a step is put in force by a majority that has an entry of its leader's term, too
-    votes          a vote that is told is on disk
+"""Random days of control processes: a script of faults drawn from a seed, and operators who change settings.
+
+The invariants are checked after each turn:
+
+    one version    two different change sets are never committed with one version, and no version is left out
+    confirmed      a confirmed change set is on the disks of a majority then, and was reported as committed
+    two operators  no change set between a change's base and its version changed one of the same objects
+    own term       a change set is committed by a majority that has an entry of its leader's term, too
+    votes          a vote that is sent is on disk
     one leader     of each term, in one life of its process
-    minority       a process that was cut off says so, and takes no change
-    old disk       a process whose disk was put back takes part no more, while another remembers
-    together       some time after the last fault all have the same steps and objects, and take changes
+    minority       an isolated process reports that it has no majority, and takes no change
+    old disk       a process whose disk was restored takes no part, while another remembers its position
+    agreement      some time after the last fault all have the same change sets and objects, and take changes
 
-``python -m rushweir.lab.sim.control_days [DAYS] [FIRST]`` plays many and prints what broke.
+``python -m rushweir.lab.sim.control_days [DAYS] [FIRST]`` runs many and prints which invariants broke.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from typing import Any
 
 from rushweir.lab.sim.control_faults import LONGEST_MS, Faults
-from rushweir.lab.sim.control_world import Controls, Make, make
+from rushweir.lab.sim.control_world import ControlCluster, Make, make
 from rushweir.lab.sim.days import cut_down
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.world import Process, World
@@ -33,15 +34,17 @@
 from rushweir.rollout.log import apply_change_set
 
 Fault = tuple[float, str, tuple]
-TOGETHER_MS = 12_000.0  # after the last fault, until all must be as one and have taken a change
+AGREEMENT_MS = 12_000.0  # after the last fault, until all must agree and have taken a change
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
+    """The size of a day."""
+
     count: int = 3
     length_ms: float = 40_000.0
     faults: int = 14
-    every_ms: float = 150.0  # a change is proposed, on average
+    every_ms: float = 150.0  # mean time between proposals
     names: int = 6  # of objects
 
 
@@ -64,7 +67,7 @@
 
 
 class Day(Faults):
-    """One day being played."""
+    """One simulated day."""
 
     def __init__(
         self, seed: int, size: Size = SIZE, script: list[Fault] | None = None, make: Make = make,
@@ -73,64 +76,66 @@
         super().__init__()
         self.size, self.script = size, draw(seed, size) if script is None else script
         self.world = World(seed)
-        self.controls = Controls(self.world, size.count, make, believe, disk)
+        self.controls = ControlCluster(self.world, size.count, make, believe, disk)
         self.majority = size.count // 2 + 1
-        self.truth: dict[int, ChangeSet] = {}  # what was told to be in force, by number
-        self.told: dict[Process, int] = {}  # the newest number of each life
+        self.truth: dict[int, ChangeSet] = {}  # committed change sets by version
+        self.versions: dict[Process, int] = {}  # the newest committed version of each life
         self.leaders: dict[int, Process] = {}
-        self.asked: dict[int, tuple[tuple[Change, ...], int | None]] = {}  # changes and base, by ticket
+        self.proposals: dict[int, tuple[tuple[Change, ...], int | None]] = {}  # changes and base, by request id
         self.answers: dict[int, ProposalAnswered] = {}
         self.open = True
-        self.world.watchers.append(self._order)
-        self.world.after.append(self._look)
+        self.world.watchers.append(self._check_command)
+        self.world.after.append(self._check_leaders)
 
     def play(self) -> Day:
-        """Raises Broken."""
+        """Run the day. Raises Broken."""
         rng, world = self.world.rng, self.world
         for k in range(self.size.count):
             world.later(rng.uniform(0, 500.0), self.controls.start, k)
             for _ in range(3):
                 world.later(rng.uniform(1_500.0, self.size.length_ms / 2), self._copy, k)
         world.later(1_000.0, self._operator)
-        for at, what, (k, j, ms) in self.script:
-            world.later(at, getattr(self, what), k, (k + j) % self.size.count, ms)
+        for at, fault, (k, j, ms) in self.script:
+            world.later(at, getattr(self, fault), k, (k + j) % self.size.count, ms)
         end = max([self.size.length_ms, *(s[0] + LONGEST_MS for s in self.script)])
         world.run(end)
         self.open = False
         self._heal()
-        world.run(end + TOGETHER_MS / 2)
-        for _ in range(3):  # a leader may still be on its way out
+        world.run(end + AGREEMENT_MS / 2)
+        for _ in range(3):  # a leader may be about to step down
             if any(self.propose(k, None, ask_leader=True) for k in range(self.size.count)):
                 break
-            world.run(world.now + TOGETHER_MS / 8)
-        world.run(end + TOGETHER_MS)
-        self._together()
+            world.run(world.now + AGREEMENT_MS / 8)
+        world.run(end + AGREEMENT_MS)
+        self._check_agreement()
         return self
 
     def _heal(self) -> None:
-        self.controls.streams.mend(set(self.controls.streams.cut))
-        self._calm()
-        self.falls = 0
+        self.controls.streams.end_cut(set(self.controls.streams.cut))
+        self._end_lag()
+        self.leaders_to_kill = 0
         for k in range(self.size.count):
             if self.controls.is_up(k):
-                self._go_on(k, self.world.at[k])
+                self._continue(k, self.world.at[k])
             else:
                 self.controls.start(k)
 
-    def _together(self) -> None:
+    def _check_agreement(self) -> None:
         good = [k for k in range(self.size.count) if not self.controls.control(k).outdated]
-        if set(range(self.size.count)) - set(good) - {self.put_back}:
-            raise Broken(f"only {good} take part, and {self.put_back} has an old disk")
-        numbers = {k: self.controls.control(k).version for k in good}
+        if set(range(self.size.count)) - set(good) - {self.restored_process}:
+            raise Broken(f"only {good} take part, and {self.restored_process} has an older disk")
+        versions = {k: self.controls.control(k).version for k in good}
         newest = max(self.truth, default=0)
-        if set(numbers.values()) != {newest}:
-            raise Broken(f"{TOGETHER_MS / 1000:g} s after the last fault: steps {numbers}, {newest} were in force")
+        if set(versions.values()) != {newest}:
+            raise Broken(
+                f"{AGREEMENT_MS / 1000:g} s after the last fault: versions {versions}, {newest} were committed"
+            )
         if not any(a.version == newest for a in self.answers.values() if a.request_id == max(self.answers)):
-            raise Broken(f"{TOGETHER_MS / 1000:g} s after the last fault a change is not taken")
-        whole = replay(self.truth, newest)
+            raise Broken(f"{AGREEMENT_MS / 1000:g} s after the last fault a change is not taken")
+        objects = replay(self.truth, newest)
         for k in good:
-            if self.controls.control(k).objects != whole:
-                raise Broken(f"the objects of {k} are not what the steps make")
+            if self.controls.control(k).objects != objects:
+                raise Broken(f"the objects of {k} are not the result of the change sets")
 
     # --- operators -------------------------------------------------------------------------------
 
@@ -145,121 +150,132 @@
             self.world.later(rng.expovariate(1 / self.size.every_ms), self._operator)
 
     def propose(self, k: int, base: int | None, ask_leader: bool) -> int:
-        """A change at ``k``, or at whom it believes to lead; its ticket, 0: nobody there."""
+        """Propose a change at ``k``, or at its leader; return the request id, 0: nobody there."""
         if ask_leader and self.controls.is_up(k):
             k = self.controls.control(k).leader
         if k < 0 or not self.controls.is_up(k) or self.world.at[k].stopped:
             return 0
-        rng, ticket = self.world.rng, len(self.asked) + 1
+        rng, request_id = self.world.rng, len(self.proposals) + 1
         names = rng.sample(range(self.size.names), rng.randint(1, 2))
-        data = [None if rng.random() < 0.15 else f"{ticket}".encode() for _ in names]
+        data = [None if rng.random() < 0.15 else f"{request_id}".encode() for _ in names]
         changes = tuple(Change(("partner", f"p{n}"), d) for n, d in zip(names, data, strict=True))
-        self.asked[ticket] = (changes, base)
-        self.controls.propose(k, ticket, changes, f"{ticket}", base)
-        return ticket
-
-    # --- what must hold --------------------------------------------------------------------------
-
-    def _order(self, p: Process, order: Any) -> None:
-        if isinstance(order, Committed):
-            self._in_force(p, order.change_set)
-        elif isinstance(order, SnapshotInstalled):
-            if self.told.get(p, 0) > order.version:
-                raise Broken(f"{p.name} goes back from step {self.told[p]} to {order.version}")
-            self.told[p] = order.version
-            if order.objects != replay(self.truth, order.version):
-                raise Broken(f"{p.name} has another whole at step {order.version}")
-        elif isinstance(order, LogEvent):
-            if order.cause == "leads" and self.falls:
-                self.falls -= 1
+        self.proposals[request_id] = (changes, base)
+        self.controls.propose(k, request_id, changes, f"{request_id}", base)
+        return request_id
+
+    # --- invariants ------------------------------------------------------------------------------
+
+    def _check_command(self, p: Process, command: Any) -> None:
+        if isinstance(command, Committed):
+            self._check_committed(p, command.change_set)
+        elif isinstance(command, SnapshotInstalled):
+            if self.versions.get(p, 0) > command.version:
+                raise Broken(f"{p.name} goes back from version {self.versions[p]} to {command.version}")
+            self.versions[p] = command.version
+            if command.objects != replay(self.truth, command.version):
+                raise Broken(f"{p.name} has other objects at version {command.version}")
+        elif isinstance(command, LogEvent):
+            if command.cause == "leads" and self.leaders_to_kill:
+                self.leaders_to_kill -= 1
                 self.world.later(0.0, self.propose, p.name, None, False)
-                self.world.later(self.world.rng.uniform(0.0, self.world.rng.choice((4.0, 25.0))), self._fall, p)
-        elif isinstance(order, Send):
-            if order.body[0] == "vote_answer" and order.body[3]:
-                kept = self.controls.on_disk(p.name)
-                if (kept.term, kept.voted_for) != (order.body[1], order.peer):
-                    raise Broken(f"{p.name} tells a vote in term {order.body[1]} that is not on its disk")
-        elif isinstance(order, ProposalAnswered):
-            self.answers[order.request_id] = order
-            if order.version is not None:
-                self._confirmed(p, order)
-
-    def _in_force(self, p: Process, step: ChangeSet) -> None:
-        last, self.told[p] = self.told.get(p, 0), step.version
-        if step.version != last + 1:
-            raise Broken(f"{p.name} tells step {step.version} behind step {last}")
-        if step.version not in self.truth:
-            self._counted(p, step)
-        known = self.truth.setdefault(step.version, step)
-        if known != step:
-            raise Broken(f"two steps under number {step.version}: of {known.author} and of {step.author}")
-        changes, base = self.asked[int(step.author)]
-        keys = {c.key for c in changes}
+                self.world.later(
+                    self.world.rng.uniform(0.0, self.world.rng.choice((4.0, 25.0))), self._restart_new_leader, p
+                )
+        elif isinstance(command, Send):
+            if command.body[0] == "vote_answer" and command.body[3]:
+                state = self.controls.on_disk(p.name)
+                if (state.term, state.voted_for) != (command.body[1], command.peer):
+                    raise Broken(f"{p.name} sends a vote in term {command.body[1]} that is not on its disk")
+        elif isinstance(command, ProposalAnswered):
+            self.answers[command.request_id] = command
+            if command.version is not None:
+                self._check_confirmed(p, command)
+
+    def _check_committed(self, p: Process, change_set: ChangeSet) -> None:
+        last, self.versions[p] = self.versions.get(p, 0), change_set.version
+        if change_set.version != last + 1:
+            raise Broken(f"{p.name} commits version {change_set.version} after version {last}")
+        if change_set.version not in self.truth:
+            self._check_own_term(p, change_set)
+        known = self.truth.setdefault(change_set.version, change_set)
+        if known != change_set:
+            raise Broken(
+                f"two change sets with version {change_set.version}: of {known.author} and of {change_set.author}"
+            )
+        changes, base = self.proposals[int(change_set.author)]
+        keys = {change.key for change in changes}
         if base is not None:
-            for n in range(base + 1, step.version):
-                if keys & {c.key for c in self.truth[n].changes}:
-                    raise Broken(f"step {step.version} was made on version {base}, and step {n} changed the same")
-
-    def _counted(self, p: Process, step: ChangeSet) -> None:
-        """First told by its leader: one of the leader's own term lies with it on the disks of a majority."""
+            for n in range(base + 1, change_set.version):
+                if keys & {change.key for change in self.truth[n].changes}:
+                    raise Broken(
+                        f"version {change_set.version} was made on version {base}, and version {n} changed the same"
+                    )
+
+    def _check_own_term(self, p: Process, change_set: ChangeSet) -> None:
+        """Committed first by its leader: an entry of the leader's own term is with it on the disks of a majority."""
         term = p.core.core.term
         on = [k for k in range(self.size.count) if any(e.term == term for e in self.controls.on_disk(k).entries)]
         if len(on) < self.majority:
             raise Broken(
-                f"{p.name} puts step {step.version} in force, and what it leads with is on the disks of {on}"
+                f"{p.name} commits version {change_set.version}, and entries of its term are on the disks of {on}"
             )
 
-    def _confirmed(self, p: Process, a: ProposalAnswered) -> None:
-        step = self.truth.get(a.version or 0)
-        if step is None or step.author != str(a.request_id):
-            raise Broken(f"{p.name} confirms {a.version} to another than it was told for")
-        on = [k for k in range(self.size.count) if self._has(k, step)]
+    def _check_confirmed(self, p: Process, answer: ProposalAnswered) -> None:
+        change_set = self.truth.get(answer.version or 0)
+        if change_set is None or change_set.author != str(answer.request_id):
+            raise Broken(f"{p.name} confirms version {answer.version} for another proposal")
+        on = [k for k in range(self.size.count) if self._has(k, change_set)]
         if len(on) < self.majority:
-            raise Broken(f"{p.name} confirms step {a.version}, which is on the disks of {on}")
+            raise Broken(f"{p.name} confirms version {answer.version}, which is on the disks of {on}")
 
-    def _has(self, k: int, step: ChangeSet) -> bool:
-        kept = self.controls.on_disk(k)
-        return step.version <= kept.snapshot.version or any(e.change_set == step for e in kept.entries)
+    def _has(self, k: int, change_set: ChangeSet) -> bool:
+        state = self.controls.on_disk(k)
+        return change_set.version <= state.snapshot.version or any(
+            entry.change_set == change_set for entry in state.entries
+        )
 
-    def _look(self, p: Process) -> None:
+    def _check_leaders(self, p: Process) -> None:
         control = p.core.core
         if control.election.role is LEADER and self.leaders.setdefault(control.term, p) is not p:
             raise Broken(f"two leaders in term {control.term}: {p.name} and {self.leaders[control.term].name}")
 
-    def _says_so(self, k: int, p: Process, ways: set[tuple[int, int]], since: float) -> None:
-        """Cut off for some time: it knows, and takes no change."""
-        held = ways <= self.controls.streams.cut and all(self.cut_at[w] <= since for w in ways)
-        if not p.up or p.stopped or not held or self.went_on.get(k, 0.0) > since:
+    def _check_isolated(self, k: int, p: Process, directions: set[tuple[int, int]], since: float) -> None:
+        """A process that was cut off for some time reports it, and takes no change."""
+        isolated = directions <= self.controls.streams.cut and all(self.cut_at[d] <= since for d in directions)
+        if not p.up or p.stopped or not isolated or self.continued_at.get(k, 0.0) > since:
             return
         if p.core.core.status(p.clock(self.world.now))["majority"]:
             raise Broken(f"{k} is cut off and says that it has a majority")
         self.world._turned(p)
-        ticket = self.propose(k, None, ask_leader=False)
-        if ticket not in self.answers or self.answers[ticket].version is not None:
+        request_id = self.propose(k, None, ask_leader=False)
+        if request_id not in self.answers or self.answers[request_id].version is not None:
             raise Broken(f"{k} is cut off and takes a change")
 
 
-def replay(steps: dict[int, ChangeSet], until: int) -> Objects:
+def replay(change_sets: dict[int, ChangeSet], until: int) -> Objects:
+    """The objects after the change sets up to a version."""
     objects: Objects = {}
     for n in range(1, until + 1):
-        apply_change_set(objects, steps[n])
+        apply_change_set(objects, change_sets[n])
     return objects
 
 
-def check(seed: int, size: Size = SIZE, script: list[Fault] | None = None, **planted: Any) -> str:
-    """What a day broke; nothing if all held."""
+def check(seed: int, size: Size = SIZE, script: list[Fault] | None = None, **injected: Any) -> str:
+    """Run a day; return which invariant broke, empty: none."""
     try:
-        Day(seed, size, script, **planted).play()
+        Day(seed, size, script, **injected).play()
     except Broken as problem:
         return str(problem)
     return ""
 
 
 def shortest(seed: int, size: Size, broke: Callable[[list[Fault]], bool]) -> list[Fault]:
+    """The script of a day, reduced to the faults without which nothing breaks."""
     return cut_down(seed, size, draw(seed, size), broke)
 
 
 def main(days: int = 500, first: int = 0) -> int:
+    """Run days from a seed on and print what broke; return the exit code."""
     broken = 0
     for seed in range(first, first + days):
         if why := check(seed):
--- a/tests/rollout/test_control_days.py
+++ b/tests/rollout/test_control_days.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rushweir.lab.sim.control_days import SIZE, Day, Size, check, draw, shortest
-from rushweir.lab.sim.control_plants import KINDS, planted
+from rushweir.lab.sim.control_injections import KINDS, inject
 from rushweir.lab.sim.fleets import Broken
 from rushweir.rollout.commands import Committed, ProposalAnswered, SnapshotInstalled
 
@@ -38,7 +38,7 @@
         day.world.watchers.append(watch)
         day.play()
         seen["compacted"] += sum(day.controls.control(k).snapshot_version > 0 for k in range(3))
-        seen["old disk"] += day.put_back is not None
+        seen["old disk"] += day.restored_process is not None
     assert all(seen.values()), seen
     assert seen["confirmed"] > 500
 
@@ -50,14 +50,14 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_injected_fault_is_found(kind):
-    assert any(check(seed, **planted(kind)) for seed in range(MAX_DAYS))
+    assert any(check(seed, **inject(kind)) for seed in range(MAX_DAYS))
 
 
 def test_script_is_reduced_to_the_faults_that_break_an_invariant():
-    seed = next(s for s in range(MAX_DAYS) if check(s, **planted("sure")))
+    seed = next(s for s in range(MAX_DAYS) if check(s, **inject("sure")))
 
     def is_broken(script):
-        return bool(check(seed, SIZE, script, **planted("sure")))
+        return bool(check(seed, SIZE, script, **inject("sure")))
 
     short = shortest(seed, SIZE, is_broken)
     assert is_broken(short) and 1 <= len(short) < len(draw(seed)) / 2
