--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Mapping
 from hashlib import sha256
 
-from rushweir.ingress.asks import Partner
+from rushweir.ingress.queries import Partner
 
 # RFC 6750, 2.1: b64token = 1*( ALPHA / DIGIT / "-" / "." / "_" / "~" / "+" / "/" ) *"="
 BEARER = re.compile(r"(?i:bearer) +([A-Za-z0-9\-._~+/]{1,512}=*)\s*\Z")
@@ -51,7 +51,7 @@
         self.users: Counter[str] = Counter()  # number of partners of each plan
         for key, partner in (by_digest or {}).items():
             key_digest = bytes.fromhex(key.removeprefix("sha256:"))
-            self.put(partner.name, partner.plan, key_digest, (partner.first, partner.spread))
+            self.put(partner.name, partner.plan, key_digest, (partner.first_gateway, partner.gateway_count))
 
     def authenticate(self, header: str | None) -> Partner | None:
         """Returns the partner that an Authorization header authenticates, or None.
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -26,8 +26,8 @@
 from rushweir.fronts.credentials import Credentials
 from rushweir.fronts.messages import BatchAnswers, FrontSettings, RequestRef, finite_number, is_utf8
 from rushweir.fronts.states import CLOSING, HEAD, HTTP, OPEN
-from rushweir.ingress.asks import Ask, Partner
 from rushweir.ingress.commands import Answer, AnswerKind
+from rushweir.ingress.queries import Partner, Query
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
 
@@ -55,7 +55,7 @@
         self.http: h11.Connection | None = None
         self.messages: Messages | None = None
         self.open_ids: set[rpc.Id] = set()
-        self.new_requests: list[tuple[RequestRef, Ask]] = []
+        self.new_requests: list[tuple[RequestRef, Query]] = []
         self.http_output: list[bytes] = []  # HTTP answers to write
         self.finished = False
         self.refusal_reason = ""  # why new requests are refused; "" while they are accepted
@@ -64,7 +64,7 @@
 
     # --- input -----------------------------------------------------------------------------------
 
-    def receive(self, data: bytes) -> list[tuple[RequestRef, Ask]]:
+    def receive(self, data: bytes) -> list[tuple[RequestRef, Query]]:
         """Reads bytes and returns the requests completed by them, which are open until ``answer``."""
         if self.state is HEAD:
             self._receive_head(data)
@@ -262,11 +262,11 @@
             self._send_error(problem, batch_answers)
             return
         if within is not None and (ask.within_ms is None or within < ask.within_ms):
-            ask = Ask(ask.cls, ask.payload, within, ask.units)
+            ask = Query(ask.cls, ask.payload, within, ask.units)
         self.open_ids.add(message.id)
         self.new_requests.append((RequestRef(message.id, batch_answers), ask))
 
-    def _checked_request(self, call: rpc.Call) -> Ask:
+    def _checked_request(self, call: rpc.Call) -> Query:
         assert call.id is not None and self.partner is not None
         if call.id in self.open_ids:
             # The id is in the data only: an error with that id would look like the answer to the open request.
@@ -298,7 +298,7 @@
         payload = {"partner": self.partner.name, "data": params.get("data"), "units": units}
         if key is not None:
             payload["key"] = f"{self.partner.name}/{key}"  # partners' keys don't collide
-        return Ask(call.method, payload, within, float(units))
+        return Query(call.method, payload, within, float(units))
 
     # --- answers ---------------------------------------------------------------------------------
 
@@ -316,12 +316,12 @@
             unknown = answer.why == "unknown_class"
             data = {
                 "reason": answer.why, "repeat": "harmless", "retry_after_ms": math.ceil(answer.retry_after_ms),
-                "request": answer.rid,
+                "request": answer.request_id,
             }  # fmt: skip
             code = rpc.METHOD_NOT_FOUND if unknown else rpc.REFUSED
             text = rpc.error(ref.id, code, f"refused: {answer.why}", data)
         else:
-            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.rid})
+            text = rpc.error(ref.id, rpc.FAILED, "failed", {"reason": answer.why, "request": answer.request_id})
         if ref.batch is None:
             self._send_text(text)
         else:
--- a/rushweir/lab/scale/hollow.py
+++ b/rushweir/lab/scale/hollow.py
@@ -20,11 +20,11 @@
 from rushweir import interface as i
 from rushweir.config import Config
 from rushweir.daemon.joining import Joining, bound, member
-from rushweir.fleet.views import SEATED
+from rushweir.fleet.views import ACTIVE
 from rushweir.ingress import commands as c
-from rushweir.ingress.asks import Partner
 from rushweir.ingress.core import Core
 from rushweir.ingress.membership import Membership
+from rushweir.ingress.queries import Partner
 from rushweir.ingress.shell import Shell
 from rushweir.ingress.transports import Connection
 from rushweir.lab.scale.accounts import LIST, Account, kind_of
@@ -205,15 +205,15 @@
         core = Core(setup, Timed(Policy(setup.settings, self.seed, now), self.account), now)
         self.shell = HollowShell(
             core, self.clock, self.account, self.udp, self.moved, folder=self.config.state, end=self._end,
-            remark=self._remark,
+            log=self._log_event,
         )  # fmt: skip
         self.shell.open()
         self.partners = list(setup.credentials.by_digest.values())
         self.requests = Requests(self.rng, self.scene.tenants_at(number, self.tail), self.scene.route_table())
         self._moved()
 
-    def _remark(self, remark: c.LogEvent) -> None:
-        if remark.cause == "view":
+    def _log_event(self, event: c.LogEvent) -> None:
+        if event.cause == "view":
             self._moved()
 
     def _moved(self) -> None:
@@ -246,21 +246,21 @@
 
     def state(self) -> dict[str, Any]:
         view = self.fleet.view
-        seated = sum(s.state == SEATED for s in view.seats.values())
+        seated = sum(s.state == ACTIVE for s in view.slots.values())
         ready = self.shell is not None and self.shell.listed
         return {"open": ready, "view": view.number, "seats": seated, "at": self.view_at}
 
     def dump(self) -> dict[str, Any]:
         """All its sums so far, and what it is now."""
         core, budgets = self.shell.core, self.shell.core.fleet.budgets
-        seed = self.fleet.vote is not None
+        seed = self.fleet.lease_acceptor is not None
         return {
             "place": str(self.place), **self.account.dump(),
-            "group": "chair" if self.fleet.in_chair() else "seed" if seed else "member",
+            "group": "chair" if self.fleet.is_leader() else "seed" if seed else "member",
             "engine": dict(core.engine.counts), "peers": dict(core.peers.counts), "fleet": dict(self.fleet.counts),
             "budgets": dict(budgets.counts),
             # As text, for these are no sums: what came between two dumps of them is the later one.
-            "has": {"held": str(len(budgets.held)), "homes": str(len(budgets.homes)),
-                    "faults": str(core.engine.faults), "age": str(self.fleet.age()), "ended": self.ended,
-                    "level": str(core.overload.level)},
+            "has": {"held": str(len(budgets.held_leases)), "homes": str(len(budgets.owned)),
+                    "faults": str(core.engine.faults), "age": str(self.fleet.view_age()), "ended": self.ended,
+                    "level": str(core.load_shedder.level)},
         }  # fmt: skip
--- a/rushweir/lab/sim/control_world.py
+++ b/rushweir/lab/sim/control_world.py
@@ -37,9 +37,9 @@
     """Adapts the core of a control process to the world's protocol ``Runs``."""
 
     def __init__(self, core: Control) -> None:
-        self.core, self.orders = core, core.commands
-        self.start, self.next_at, self.advance, self.kept = core.start, core.next_at, core.advance, core.persisted
-        self.compacted = core.compacted
+        self.core, self.commands = core, core.commands
+        self.start, self.next_at, self.advance = core.start, core.next_at, core.advance
+        self.file_saved, self.compacted = core.persisted, core.compacted
 
     def datagram(self, now: float, data: Any) -> None:
         source, body = data
@@ -283,7 +283,7 @@
             case Place(compaction):
                 self._notify(p, p.core.compacted, compaction.serial)
             case Append() | Rewrite() as write:
-                self._notify(p, p.core.kept, write.serial)
+                self._notify(p, p.core.file_saved, write.serial)
 
     def _notify(self, p: Process, method: Callable[[float, int], None], serial: int) -> None:
         if p.up and p.stopped:
