--- a/rushweir/budgets/allocation.py
+++ b/rushweir/budgets/allocation.py
@@ -9,10 +9,10 @@
 from functools import lru_cache
 from zlib import crc32
 
-KEEP = 0.1  # of a part: as long as none would change by more, all stay as they are
+CHANGE_TOLERANCE = 0.1  # of a part: as long as none would change by more, all stay as they are
 
 
-def divide(whole: int, demands: Mapping[int, int], weights: Mapping[int, int] | None = None) -> dict[int, int]:
+def allocate(whole: int, demands: Mapping[int, int], weights: Mapping[int, int] | None = None) -> dict[int, int]:
     """A part for each key, none above ``whole`` together. Who demands little gets that; the rest is shared by weight
     among those who demand more, and what is left when all have enough as well, so that a demand that grows finds
     room. Remainders go to the first keys by order."""
@@ -29,12 +29,12 @@
             left -= demands[k]
         hungry = [k for k in hungry if k not in full]
     sharing = hungry or keys
-    for k, share in zip(sharing, split(left, [_weight(weights, k) for k in sharing]), strict=True):
+    for k, share in zip(sharing, split_by_weight(left, [_weight(weights, k) for k in sharing]), strict=True):
         parts[k] += share
     return parts
 
 
-def split(whole: int, weights: list[int]) -> list[int]:
+def split_by_weight(whole: int, weights: list[int]) -> list[int]:
     """A whole by weights, exactly; remainders to the first ones."""
     sum_ = sum(weights)
     if not sum_ or whole <= 0:
@@ -45,15 +45,15 @@
     return shares
 
 
-def settled(new: Mapping[int, int], held: Mapping[int, int]) -> bool:
+def is_settled(new: Mapping[int, int], held: Mapping[int, int]) -> bool:
     """Whether a new division is so near to what is held that nothing needs to move."""
     if new.keys() != held.keys():
         return False
-    return all(abs(new[k] - held[k]) <= KEEP * max(new[k], held[k]) for k in new)
+    return all(abs(new[k] - held[k]) <= CHANGE_TOLERANCE * max(new[k], held[k]) for k in new)
 
 
 @lru_cache(maxsize=16_384)  # of each budget and number the same, and asked for at each question
-def floor_of(budget: int, number: int, numbers: int, whole: int, unit: int = 1) -> int:
+def minimum_amount(budget: int, number: int, numbers: int, whole: int, unit: int = 1) -> int:
     """What a number owns of a floor that all numbers share: whole ``unit``s, since less than a unit serves nobody.
     What is left over goes, a unit each, to some numbers that differ by budget."""
     units = whole // unit
--- a/rushweir/budgets/handoff.py
+++ b/rushweir/budgets/handoff.py
@@ -22,12 +22,12 @@
 from dataclasses import dataclass, field
 
 from rushweir.budgets.records import BudgetTotal
-from rushweir.fleet.table import fitting
+from rushweir.fleet.table import paginate
 from rushweir.fleet.views import SEED_BITS, View
 
-ROWS_ROOM = 140  # bytes of rows in a datagram: five at the longest
-MOST_PAGES = 64
-AGAIN_MS = 120.0  # until a page that nobody confirmed is sent again
+ROWS_BYTES = 140  # bytes of rows in a datagram: five at the longest
+MAX_PAGES = 64
+RESEND_MS = 120.0  # until a page that nobody confirmed is sent again
 
 
 def follows(new: View, old: View) -> bool:
@@ -37,100 +37,100 @@
 
 
 @dataclass(slots=True)
-class Given:
+class OutgoingHandoff:
     """A ledger that is being handed over."""
 
-    scope: BudgetTotal  # whose doors say where its home is
-    to: int
+    total: BudgetTotal  # whose doors say where its home is
+    receiver: int
     view: int
     pages: list[list[list[int]]]
-    left: set[int]  # pages that nobody confirmed
-    wait: int  # ms for which the next home still has to wait
-    until: float
-    sent: dict[int, float] = field(default_factory=dict)  # pages that were, and when
+    unconfirmed: set[int]  # pages that nobody confirmed
+    wait_ms: int  # ms for which the next home still has to wait
+    expires_at: float
+    sent_at: dict[int, float] = field(default_factory=dict)  # pages that were, and when
 
-    def begin(self, to: int, view: int) -> None:
-        self.to, self.view, self.left, self.sent = to, view, set(range(len(self.pages))), {}
+    def restart(self, to: int, view: int) -> None:
+        self.receiver, self.view, self.unconfirmed, self.sent_at = to, view, set(range(len(self.pages))), {}
 
 
-class HandOver:
+class Handoffs:
     """The ledgers that one process hands over, and those that come to it: ``most`` of each at once."""
 
     def __init__(self, most: int, term_ms: float) -> None:
-        self.most, self.term = most, term_ms
-        self.given: dict[int, Given] = {}
-        self.coming: dict[tuple[int, int], dict[int, list[list[int]]]] = {}  # pages by budget and sender
+        self.max_handoffs, self.lease_ms = most, term_ms
+        self.outgoing: dict[int, OutgoingHandoff] = {}
+        self.incoming: dict[tuple[int, int], dict[int, list[list[int]]]] = {}  # pages by budget and sender
         # The last view for which a ledger was taken, and when, by budget; who gave it asks for a term at most.
-        self.took: dict[int, tuple[int, float]] = {}
+        self.received: dict[int, tuple[int, float]] = {}
 
-    def give(
+    def start(
         self, key: int, scope: BudgetTotal, to: int, view: int, rows: list[list[int]], wait: int, until: float
     ) -> bool:
         """Begin to hand a ledger over; whether there is room. ``until``: when nobody needs it any more."""
-        pages = fitting(rows, ROWS_ROOM) or [[]]
-        if len(pages) > MOST_PAGES or len(self.given) >= self.most:
+        pages = paginate(rows, ROWS_BYTES) or [[]]
+        if len(pages) > MAX_PAGES or len(self.outgoing) >= self.max_handoffs:
             return False
-        self.given[key] = Given(scope, to, view, pages, set(range(len(pages))), wait, until)
+        self.outgoing[key] = OutgoingHandoff(scope, to, view, pages, set(range(len(pages))), wait, until)
         return True
 
-    def due(self, now: float) -> Iterator[tuple[int, list]]:
+    def due_pages(self, now: float) -> Iterator[tuple[int, list]]:
         """What is to be sent now, as receiver and entry without its kind. What is taken from here counts as sent."""
-        for key, g in list(self.given.items()):
-            if now >= g.until:
-                del self.given[key]
+        for key, g in list(self.outgoing.items()):
+            if now >= g.expires_at:
+                del self.outgoing[key]
                 continue
-            for page in sorted(g.left):
-                if now >= g.sent.get(page, -AGAIN_MS) + AGAIN_MS:
-                    g.sent[page] = now
-                    yield g.to, [key, g.view, page, len(g.pages), g.wait, g.pages[page]]
+            for page in sorted(g.unconfirmed):
+                if now >= g.sent_at.get(page, -RESEND_MS) + RESEND_MS:
+                    g.sent_at[page] = now
+                    yield g.receiver, [key, g.view, page, len(g.pages), g.wait_ms, g.pages[page]]
 
-    def confirmed(self, who: int, key: int, view: int, page: int) -> None:
+    def on_ack(self, who: int, key: int, view: int, page: int) -> None:
         """The next home has a page."""
-        g = self.given.get(key)
-        if g is not None and (g.to, g.view) == (who, view):
-            g.left.discard(page)
-            if not g.left:
-                del self.given[key]
+        g = self.outgoing.get(key)
+        if g is not None and (g.receiver, g.view) == (who, view):
+            g.unconfirmed.discard(page)
+            if not g.unconfirmed:
+                del self.outgoing[key]
 
-    def refused(self, who: int, key: int, view: int, to: int, now_view: int) -> None:
+    def on_refused(self, who: int, key: int, view: int, to: int, now_view: int) -> None:
         """A process that a ledger was given to has it not, and will not take it for that view any more; ``to``: the
         home there is now."""
-        g = self.given.get(key)
-        if g is not None and (g.to, g.view) == (who, view) and view != now_view:
-            g.begin(to, now_view)
+        g = self.outgoing.get(key)
+        if g is not None and (g.receiver, g.view) == (who, view) and view != now_view:
+            g.restart(to, now_view)
             if not to:
-                del self.given[key]
+                del self.outgoing[key]
 
-    def has_taken(self, key: int, view: int) -> bool:
+    def has_received(self, key: int, view: int) -> bool:
         """Whether a ledger was taken for a view, or for a later one."""
-        return self.took.get(key, (0, 0.0))[0] >= view
+        return self.received.get(key, (0, 0.0))[0] >= view
 
-    def viewed(self, old: View, new: View, home_of: Callable[[int, BudgetTotal], int]) -> None:
+    def on_view_change(self, old: View, new: View, home_of: Callable[[int, BudgetTotal], int]) -> None:
         """Another view holds here."""
         if not follows(new, old):
-            self.given.clear()
-        for key, g in list(self.given.items()):
-            home = home_of(key, g.scope)
-            if g.view == old.number and (home == g.to or len(g.sent) < len(g.pages)):
-                g.begin(home, new.number)
+            self.outgoing.clear()
+        for key, g in list(self.outgoing.items()):
+            home = home_of(key, g.total)
+            if g.view == old.number and (home == g.receiver or len(g.sent_at) < len(g.pages)):
+                g.restart(home, new.number)
                 if not home:
-                    del self.given[key]
-        self.coming.clear()
+                    del self.outgoing[key]
+        self.incoming.clear()
 
-    def came(
+    def on_page(
         self, now: float, who: int, key: int, view: int, page: int, of: int, rows: list
     ) -> list[list[int]] | None:  # fmt: skip
         """A page for the view that is held came; all rows once it was the last one. Raises ValueError."""
-        if not 0 <= page < of <= MOST_PAGES:
+        if not 0 <= page < of <= MAX_PAGES:
             raise ValueError("pages")
-        if len(self.coming) + len(self.took) >= 2 * self.most:
-            self.took = {k: t for k, t in self.took.items() if now - t[1] < 2 * self.term}
-        if len(self.coming) + len(self.took) >= 2 * self.most:
+        if len(self.incoming) + len(self.received) >= 2 * self.max_handoffs:
+            self.received = {k: t for k, t in self.received.items() if now - t[1] < 2 * self.lease_ms}
+        if len(self.incoming) + len(self.received) >= 2 * self.max_handoffs:
             return None
-        pages = self.coming.setdefault((key, who), {})
+        pages = self.incoming.setdefault((key, who), {})
         pages[page] = rows
         if len(pages) < of:
             return None
-        del self.coming[key, who]
-        self.took[key] = view, now
+        del self.incoming[key, who]
+        self.received[key] = view, now
         return [r for k in range(of) for r in pages[k]]
--- a/rushweir/budgets/records.py
+++ b/rushweir/budgets/records.py
@@ -29,12 +29,12 @@
         """From units a second and units; what is smaller than a thousandth is not given out."""
         return cls(int(rate * UNIT), int(burst * UNIT), floor, first, count)
 
-    def within(self, other: BudgetTotal) -> bool:
+    def is_within(self, other: BudgetTotal) -> bool:
         """Whether whatever is lent of this one may be lent of the other, too."""
         less = self.rate <= other.rate and self.burst <= other.burst and self.minimum_share >= other.minimum_share
         return less and (self.first_slot, self.slot_count) == (other.first_slot, other.slot_count)
 
-    def doors(self, most: int) -> list[int]:
+    def slots(self, most: int) -> list[int]:
         """The numbers that use it, of so many that there are."""
         return [(self.first_slot + k) % most for k in range(min(self.slot_count or most, most))]
 
@@ -49,7 +49,7 @@
     def __add__(self, other: Share) -> Share:
         return Share(self.rate + other.rate, self.burst + other.burst)
 
-    def most(self, other: Share) -> Share:
+    def covering(self, other: Share) -> Share:
         """What covers either."""
         return Share(max(self.rate, other.rate), max(self.burst, other.burst))
 
@@ -82,10 +82,10 @@
     used_at: float
     share: Share = NO_SHARE
     expires_at: float = -inf  # of the lease
-    taken: int = 0  # serial of the grant acted on
+    applied_serial: int = 0  # serial of the grant acted on
     serial: int = 0
     requested_at: dict[int, float] = field(default_factory=dict)  # when, by serial
-    ask_at: float = 0.0
+    next_request_at: float = 0.0
     reported_share: Share = NO_SHARE  # as the user was told last
 
 
--- a/rushweir/fleet/core.py
+++ b/rushweir/fleet/core.py
@@ -22,23 +22,25 @@
 from rushweir.fleet import commands
 from rushweir.fleet import frame as f
 from rushweir.fleet.drift import max_under_drift, min_under_drift
-from rushweir.fleet.exchange import ROWS_ROOM, Exchange
+from rushweir.fleet.exchange import ROWS_BYTES, Exchange
 from rushweir.fleet.handlers import HANDLERS
 from rushweir.fleet.leader_lease import LeaderLease, LeaseAcceptor
-from rushweir.fleet.members import DEAD, NAMES, SUSPECT, Member, Members
+from rushweir.fleet.members import DEAD, STATE_NAMES, SUSPECT, Member, Members
 from rushweir.fleet.message_budget import MessageBudget
-from rushweir.fleet.settings import REST_MS, FleetSettings, told_times
-from rushweir.fleet.table import HEADING, MEMBER, SEAT, Table, fitting, size
-from rushweir.fleet.view_manager import ViewManager, changed, load
-from rushweir.fleet.views import LOST, SEAT_BYTES, View, seat
+from rushweir.fleet.settings import COMPARE_INTERVAL_MS, FleetSettings, retransmit_limit
+from rushweir.fleet.table import MEMBER, SLOT, VIEW_HEADER, Table, packed_size, paginate
+from rushweir.fleet.view_manager import ViewManager, changed_slots, unpack_view
+from rushweir.fleet.views import LOST, SLOT_BYTES, View, unpack_slot
 
 MEMBER_BYTES, HEADING_BYTES = 96, 48
-TOLD_ROOM = f.MOST_BODY - 44  # and in a probe or its answer
-ASK_SEAT_MS, FREE_MS, FREE_TRIES = 500.0, 100.0, 6
-MOST_PINGS = 256  # whose answers are waited for
-AT_ONCE_S = 2.0  # of the budget may go for telling a view to all, beyond which it is left to gossip
-MAIL_PART = 0.25  # of a datagram of the quotas counts against what the fleet may send
-COMPARED_PER_S = 3 * 1000 / REST_MS  # a comparison each REST_MS, of three datagrams: digest, versions, entries
+PIGGYBACK_BYTES = f.MAX_BODY_BYTES - 44  # and in a probe or its answer
+SLOT_REQUEST_INTERVAL_MS, SLOT_RELEASE_INTERVAL_MS, MAX_SLOT_RELEASE_TRIES = 500.0, 100.0, 6
+MAX_PROBES_TRACKED = 256  # whose answers are waited for
+BROADCAST_BUDGET_S = 2.0  # of the budget may go for telling a view to all, beyond which it is left to gossip
+PEER_MESSAGE_COST = 0.25  # of a datagram of the quotas counts against what the fleet may send
+COMPARE_MESSAGES_PER_S = (
+    3 * 1000 / COMPARE_INTERVAL_MS
+)  # a comparison each REST_MS, of three datagrams: digest, versions, entries
 
 
 class Fleet:
@@ -53,50 +55,50 @@
         Raises StoredViewError."""
         self.settings, self.now, self.rng = settings, now, random.Random(seed)
         self.me = self.rng.getrandbits(63) + 1
-        self.frames = f.Frames(self.me, key, settings.most_entries)
+        self.frames = f.Frames(self.me, key, settings.max_entries)
         self.commands: deque[commands.Command] = deque()
         self.counts: Counter[str] = Counter()
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self.serial = 0
-        kinds = {MEMBER: MEMBER_BYTES, SEAT: SEAT_BYTES, HEADING: HEADING_BYTES, **(bounds or {})}
-        self.table = Table(kinds, settings.most_entries, lambda origin: origin in self.members.known)
+        kinds = {MEMBER: MEMBER_BYTES, SLOT: SLOT_BYTES, VIEW_HEADER: HEADING_BYTES, **(bounds or {})}
+        self.table = Table(kinds, settings.max_entries, lambda origin: origin in self.members.known)
         self.members, self.exchange = Members(self), Exchange(self)
-        self.view, self.confirmed = View(), ()
+        self.view, self.confirming_seeds = View(), ()
         self.view_confirmed_at = -inf  # the view that is held here was in force at this time or later
         self.slot_confirmed_at = -inf  # and so was one in which this process has a seat
         self.assigned_slot = -1
-        self.pings: OrderedDict[tuple[int, int], float] = OrderedDict()
+        self.probes_sent_at: OrderedDict[tuple[int, int], float] = OrderedDict()
         self.message_budget, self.app_budget = (
             MessageBudget(settings.per_s, now),
             MessageBudget(settings.apps_per_s, now),
         )
-        self.compared = MessageBudget(COMPARED_PER_S, now)
-        self.leaving = self.left = self.silent = False
-        self.free_tries = 0
+        self.compare_budget = MessageBudget(COMPARE_MESSAGES_PER_S, now)
+        self.leaving = self.left = self.is_silent = False
+        self.release_tries = 0
         self.refusal_reason = ""  # why the chair gave no seat
-        self.apps: dict[int, Callable[[int, list], None]] = {}  # who takes messages of users, by their topic
+        self.app_handlers: dict[int, Callable[[int, list], None]] = {}  # who takes messages of users, by their topic
         self.lease_acceptor: LeaseAcceptor | None = None
-        if settings.voter >= 0:
+        if settings.seed_index >= 0:
             self.lease_acceptor = LeaseAcceptor(now, settings.leader_lease_ms)
-            self.view_manager = ViewManager(self, load(kept) if kept else View())
+            self.view_manager = ViewManager(self, unpack_view(kept) if kept else View())
             self.leader_lease = LeaderLease(self, self.lease_acceptor)
 
     # --- time ------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
         self.now = now
-        self.members.write()
-        self.at(0.0, self.members.tick, now)
+        self.members.write_own_entry()
+        self.call_after(0.0, self.members.tick, now)
         self.exchange.start()
-        self.at(0.0, self._look_after_seat, None)
+        self.call_after(0.0, self._maintain_slot, None)
         if self.lease_acceptor is not None:
-            self.at(0.0, self.leader_lease.tick, None)
-            self.at(0.0, self.view_manager.step, None)
+            self.call_after(0.0, self.leader_lease.tick, None)
+            self.call_after(0.0, self.view_manager.tick, None)
 
     def next_at(self) -> float | None:
         return self.timers[0][0] if self.timers else None
 
-    def at(self, after_ms: float, what: Callable[[Any], None], argument: Any) -> None:
+    def call_after(self, after_ms: float, what: Callable[[Any], None], argument: Any) -> None:
         self.serial += 1
         heappush(self.timers, (self.now + after_ms, self.serial, what, argument))
 
@@ -113,7 +115,7 @@
 
     def datagram(self, now: float, data: bytes) -> None:
         self.now = now
-        told = None if self.silent else self.frames.unpack(data)
+        told = None if self.is_silent else self.frames.unpack(data)
         if told is None:
             return
         kind, sender, body = told
@@ -126,7 +128,7 @@
         except (ValueError, TypeError, IndexError, KeyError):
             self.counts["bad_bodies"] += 1  # of a member with another version of the program, or a faulty one
             return
-        self.members.heard_of(sender)
+        self.members.on_datagram(sender)
         m = self.members.known.get(sender)
         if m is not None and m.state == DEAD and self.may_send():
             self.send(f.ROWS, sender, [[self.table.row((MEMBER, sender))]])  # so that it objects
@@ -147,14 +149,14 @@
         its own beside them: else who lacks one entry of a view does not learn it, and its number runs out."""
         if self.message_budget.allows(self.now):
             return True
-        if not self.compared.allows(self.now):
+        if not self.compare_budget.allows(self.now):
             return False
-        self.compared.spend(self.now)
+        self.compare_budget.spend(self.now)
         return True
 
     def charge_peer_messages(self, count: int = 1) -> None:
         """The quotas sent so many datagrams: theirs go first, and the fleet's waiting ones have the less."""
-        self.message_budget.spend(self.now, count * MAIL_PART)
+        self.message_budget.spend(self.now, count * PEER_MESSAGE_COST)
 
     def send_app(self, topic: int, to: int, body: list) -> None:
         """A message of a user of the fleet, out of a budget of their own: members that find each other must not wait
@@ -172,19 +174,23 @@
     # --- the others ------------------------------------------------------------------------------
 
     def send_probe(self, kind: int, to: int, number: int) -> None:
-        self.pings[to, number] = self.now
-        if len(self.pings) > MOST_PINGS:
-            self.pings.popitem(last=False)
+        self.probes_sent_at[to, number] = self.now
+        if len(self.probes_sent_at) > MAX_PROBES_TRACKED:
+            self.probes_sent_at.popitem(last=False)
         # With its own entry: who forgot this member could not answer it.
         own = self.table.row((MEMBER, self.me))
-        self.send(kind, to, [number, *self.beacon(), [own, *self.told(to, TOLD_ROOM - size(own))]])
+        self.send(
+            kind,
+            to,
+            [number, *self.view_report(), [own, *self.piggyback_rows(to, PIGGYBACK_BYTES - packed_size(own))]],
+        )
 
-    def told(self, to: int, room: int = TOLD_ROOM) -> list:
-        times = told_times(self.settings.slot_count)
+    def piggyback_rows(self, to: int, room: int = PIGGYBACK_BYTES) -> list:
+        times = retransmit_limit(self.settings.slot_count)
         m = self.members.known.get(to)
-        return self.table.take(room, times, (MEMBER, to) if m is not None and m.state == SUSPECT else None)
+        return self.table.piggyback_rows(room, times, (MEMBER, to) if m is not None and m.state == SUSPECT else None)
 
-    def beacon(self) -> list[int]:
+    def view_report(self) -> list[int]:
         """The view that holds here, and for how long it is not sure to be in force."""
         age = self.view_age()
         return [self.view.number, -1 if age == inf else ceil(age)]
@@ -199,14 +205,14 @@
         return (
             self.lease_acceptor is not None and self.leader_lease.is_held()
             and self.view_manager.state in ("open", "putting")
-            and self.view.number > 0 and self.made == self.view_manager.ballot
+            and self.view.number > 0 and self.view_ballot == self.view_manager.ballot
         )  # fmt: skip
 
-    made = 0  # by which ballot of this process the view that holds was put
+    view_ballot = 0  # by which ballot of this process the view that holds was put
 
     def learn_view_age(self, sender: int, number: int, view: int, age: int) -> None:
         """A probe was answered: what the answer says of the view held for a time that is counted from the probe."""
-        asked = self.pings.pop((sender, number), None)
+        asked = self.probes_sent_at.pop((sender, number), None)
         if asked is not None and age >= 0 and view == self.view.number:
             self.view_confirmed_at = max(self.view_confirmed_at, asked - max_under_drift(age))
             self._update_slot()
@@ -218,23 +224,23 @@
             if not (isinstance(row, list) and len(row) == 4):
                 continue
             kind, origin = row[0], row[1]
-            if kind == MEMBER and not self.members.heard(row):
+            if kind == MEMBER and not self.members.should_merge(row):
                 continue
             if self.table.merge(row):
-                self.exchange.learnt = True
+                self.exchange.has_new_rows = True
                 if kind == MEMBER:
-                    self.members.took(origin)
-                heading |= kind in (SEAT, HEADING)
+                    self.members.apply_entry(origin)
+                heading |= kind in (SLOT, VIEW_HEADER)
         if heading:
-            self._adopt()
+            self._adopt_view()
 
     def member_changed(self, new: Member, had: Member | None) -> None:
         if had is None or (had.state >= DEAD) != (new.state >= DEAD):
             self.counts["member_changes"] += 1
             host, port = new.address
-            self.note("info", f"member_{NAMES[new.state]}", address=f"{host}:{port}", zone=new.zone)
+            self.log_event("info", f"member_{STATE_NAMES[new.state]}", address=f"{host}:{port}", zone=new.zone)
 
-    def note(self, level: str, cause: str, **fields: Any) -> None:
+    def log_event(self, level: str, cause: str, **fields: Any) -> None:
         self.commands.append(commands.LogEvent(level, cause, fields))
 
     # --- entries of users ------------------------------------------------------------------------
@@ -247,49 +253,51 @@
     # --- views -----------------------------------------------------------------------------------
 
     def other_seeds(self) -> list[Member]:
-        found = [self.members.at(a) for a in self.settings.seeds if a != self.settings.address]
+        found = [self.members.alive_at(a) for a in self.settings.seeds if a != self.settings.address]
         return [m for m in found if m is not None]
 
-    def keep(self, serial: int, data: bytes) -> None:
+    def save_file(self, serial: int, data: bytes) -> None:
         self.commands.append(commands.SaveFile(serial, data))
 
     def file_saved(self, now: float, serial: int) -> None:
         """A SaveFile order was carried out."""
         self.now = now
-        self.view_manager.was_kept(serial)
+        self.view_manager.on_saved(serial)
 
-    def in_force(self, view: View, seeds: list[int]) -> None:
+    def publish_view(self, view: View, seeds: list[int]) -> None:
         """This process, in the chair, made a view, and a majority of the seeds keeps it: tell everybody."""
-        for n in sorted(view.slots.keys() | self.view.slots.keys() | self.table.entries_of(SEAT).keys()):
+        for n in sorted(view.slots.keys() | self.view.slots.keys() | self.table.entries_of(SLOT).keys()):
             data = view.slots[n].pack() if n in view.slots else b""
-            had = self.table.get(SEAT, n)
+            had = self.table.get(SLOT, n)
             if (had is None and data) or (had is not None and had[1] != data):
-                self.table.put(SEAT, n, view.number, data)
+                self.table.put(SLOT, n, view.number, data)
         bits = sum(1 << k for k in seeds)
-        self.table.put(HEADING, 0, view.number, msgpack.packb([view.digest(), self.me, bits]))
+        self.table.put(VIEW_HEADER, 0, view.number, msgpack.packb([view.digest(), self.me, bits]))
         # A small fleet hears of it at once; in a large one it goes from member to member.
-        rows = [self.table.row(k) for k in ((HEADING, 0), *((SEAT, n) for n, _ in changed(self.view, view)))]
-        portions = fitting(rows, ROWS_ROOM)
+        rows = [
+            self.table.row(k) for k in ((VIEW_HEADER, 0), *((SLOT, n) for n, _ in changed_slots(self.view, view)))
+        ]
+        portions = paginate(rows, ROWS_BYTES)
         others = self.members.alive()
-        if len(portions) * len(others) <= self.settings.per_s * AT_ONCE_S:
+        if len(portions) * len(others) <= self.settings.per_s * BROADCAST_BUDGET_S:
             for m in others:
                 for portion in portions:
                     self.send(f.ROWS, m.id, [portion])
-        self.made = self.view_manager.ballot
-        self._adopt()
+        self.view_ballot = self.view_manager.ballot
+        self._adopt_view()
 
-    def _adopt(self) -> None:
+    def _adopt_view(self) -> None:
         """Hold the view that the table tells of, once all of it is there."""
-        heading = self.table.get(HEADING, 0)
+        heading = self.table.get(VIEW_HEADER, 0)
         if heading is None or heading[0] <= self.view.number:
             return
         digest, _, bits = msgpack.unpackb(heading[1])
-        found = {n: seat(data) for n, (_, data) in self.table.entries_of(SEAT).items()}
+        found = {n: unpack_slot(data) for n, (_, data) in self.table.entries_of(SLOT).items()}
         view = View(heading[0], {n: s for n, s in found.items() if s is not None})
         if view.digest() != digest:
             return
         self.view, self.view_confirmed_at = view, -inf
-        self.confirmed = tuple(k for k in range(len(self.settings.seeds)) if bits >> k & 1)
+        self.confirming_seeds = tuple(k for k in range(len(self.settings.seeds)) if bits >> k & 1)
         if self.is_leader():
             self.view_confirmed_at = self.now
         self.counts["views"] += 1
@@ -298,7 +306,7 @@
 
     def _update_slot(self) -> None:
         """Note when a view in force surely had a seat of this process, and which."""
-        n = self.view.number_of(self.me)
+        n = self.view.slot_of(self.me)
         if n >= 0 and self.view.slots[n].state != LOST:
             self.slot_confirmed_at = max(self.slot_confirmed_at, self.view_confirmed_at)
             if n != self.assigned_slot:
@@ -312,7 +320,7 @@
 
     def leader_id(self) -> int:
         """Who made the newest view that this process knows of; 0: nobody."""
-        heading = self.table.get(HEADING, 0)
+        heading = self.table.get(VIEW_HEADER, 0)
         return msgpack.unpackb(heading[1])[1] if heading is not None else 0
 
     def is_view_current(self) -> bool:
@@ -328,24 +336,24 @@
             self.assigned_slot if self.now - self.slot_confirmed_at < min_under_drift(self.settings.keep_ms) else -1
         )
 
-    def _look_after_seat(self, _: object) -> None:
+    def _maintain_slot(self, _: object) -> None:
         if self.leaving:
-            self._give_back()
+            self._release_slot()
             return
-        again = ASK_SEAT_MS
-        if not self.view.holds(self.me):
+        again = SLOT_REQUEST_INTERVAL_MS
+        if not self.view.has_active_slot(self.me):
             s = self.settings
-            seats = (seat(data) for _, data in self.table.entries_of(SEAT).values())
+            seats = (unpack_slot(data) for _, data in self.table.entries_of(SLOT).values())
             if any(x is not None and x.id == self.me and x.state != LOST for x in seats):
-                again = 4 * ASK_SEAT_MS  # it has one; the rest of that view is still on its way
+                again = 4 * SLOT_REQUEST_INTERVAL_MS  # it has one; the rest of that view is still on its way
             if self.lease_acceptor is not None and self.leader_lease.is_held():
-                self.view_manager.wish(self.me, s.address, s.wanted_slot)
+                self.view_manager.request_slot(self.me, s.address, s.wanted_slot)
             else:
                 known = self.members.known.get(self.leader_id())
                 ask = [known] if known is not None and known.state <= SUSPECT else self.other_seeds()
                 for m in self.rng.sample(ask, min(1, len(ask))):
-                    self.send(f.SEAT_ASK, m.id, [*s.address, s.wanted_slot, [self.table.row((MEMBER, self.me))]])
-        self.at(again, self._look_after_seat, None)
+                    self.send(f.SLOT_REQUEST, m.id, [*s.address, s.wanted_slot, [self.table.row((MEMBER, self.me))]])
+        self.call_after(again, self._maintain_slot, None)
 
     # --- the end ---------------------------------------------------------------------------------
 
@@ -358,42 +366,42 @@
         self.leaving = True
         self.assigned_slot, self.slot_confirmed_at = -1, -inf
         self.members.leave()
-        self._give_back()
+        self._release_slot()
 
     def stop_sending(self, now: float) -> None:
         """Not a word more: a successor at the same address goes on. The number stays taken, by it."""
         self.now = now
         if self.lease_acceptor is not None:
-            self.leader_lease.give_up()
-        self.leaving = self.left = self.silent = True
+            self.leader_lease.release()
+        self.leaving = self.left = self.is_silent = True
         self.assigned_slot, self.slot_confirmed_at = -1, -inf
         self.timers.clear()
 
-    def _give_back(self) -> None:
+    def _release_slot(self) -> None:
         if self.left:
             return
-        self.free_tries += 1
-        if self.free_tries > FREE_TRIES:
-            self._over()
+        self.release_tries += 1
+        if self.release_tries > MAX_SLOT_RELEASE_TRIES:
+            self._finish_leaving()
             return
         if self.lease_acceptor is not None and self.leader_lease.is_held():
-            self.view_manager.freed(self.me)
-            if self.view.number_of(self.me) < 0:
-                self._over()
+            self.view_manager.release_slot(self.me)
+            if self.view.slot_of(self.me) < 0:
+                self._finish_leaving()
                 return
         elif (known := self.members.known.get(self.leader_id())) is not None:
-            self.send(f.SEAT_FREE, known.id, [])
-        self.at(FREE_MS, lambda _: self._give_back(), None)
+            self.send(f.SLOT_RELEASE, known.id, [])
+        self.call_after(SLOT_RELEASE_INTERVAL_MS, lambda _: self._release_slot(), None)
 
-    def _over(self) -> None:
+    def _finish_leaving(self) -> None:
         """The last words: to some others, so that nobody has to find out."""
         if self.lease_acceptor is not None:
-            self.leader_lease.give_up()
+            self.leader_lease.release()
         others = self.members.alive()
         for m in self.rng.sample(others, min(3, len(others))):
             self.send(f.ROWS, m.id, [[self.table.row((MEMBER, self.me))]])
         self.left = True
 
-    def seat_freed(self) -> None:
+    def slot_released(self) -> None:
         if self.leaving and not self.left:
-            self._over()
+            self._finish_leaving()
--- a/rushweir/fleet/frame.py
+++ b/rushweir/fleet/frame.py
@@ -20,19 +20,19 @@
 
 import msgpack
 
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 VERSION = 2
-HEAD = Struct(">BBQQI")
-TAG = 16
-MOST_BODY = MOST_BYTES - HEAD.size - TAG
-WINDOW = 1024  # serials of one sender that may overtake each other: more than a minute of its messages
-ANYBODY = 0  # as receiver of a JOIN
+HEADER = Struct(">BBQQI")
+TAG_BYTES = 16
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES
+REPLAY_WINDOW = 1024  # serials of one sender that may overtake each other: more than a minute of its messages
+ANY_RECEIVER = 0  # as receiver of a JOIN
 
 JOIN, JOIN_REPLY, PROBE, PROBE_ACK, INDIRECT_PROBE, INDIRECT_ACK = 1, 2, 3, 4, 5, 6
 DIGEST, VERSIONS, ROWS, INDIRECT_NACK, SKETCH = 7, 8, 9, 10, 11
 PREPARE, PROMISE, PROPOSE, ACCEPT = 16, 17, 18, 19
-VIEW_PUT, VIEW_ACK, VIEW_WANT, VIEW_PAGE = 20, 21, 22, 23
-SEAT_ASK, SEAT_NO, SEAT_FREE, SEAT_FREED, LEASE_RELEASE = 24, 25, 26, 27, 28
+VIEW_PROPOSE, VIEW_ACCEPT, VIEW_FETCH, VIEW_PAGE = 20, 21, 22, 23
+SLOT_REQUEST, SLOT_REFUSED, SLOT_RELEASE, SLOT_RELEASED, LEASE_RELEASE = 24, 25, 26, 27, 28
 APP = 32
 
 
@@ -43,7 +43,7 @@
         """``most_senders``: windows remembered; of more senders, those that were silent longest are forgotten."""
         if len(key) < 16:
             raise ValueError("peer key: 16 bytes at least")
-        self.me, self.most = me, most_senders
+        self.me, self.max_senders = me, most_senders
         self.key = blake2s(key).digest()
         self.serial = 0
         self.windows: OrderedDict[int, tuple[int, int]] = OrderedDict()  # highest serial, and a bit for each below
@@ -53,31 +53,31 @@
         """Raises ValueError where the body does not fit: those that write bodies measure them."""
         self.serial += 1
         packed = msgpack.packb(body)
-        if len(packed) > MOST_BODY:
-            raise ValueError(f"a body of {len(packed)} bytes, {MOST_BODY} at most")
-        message = HEAD.pack(VERSION, kind, self.me, to, self.serial & 0xFFFFFFFF) + packed
+        if len(packed) > MAX_BODY_BYTES:
+            raise ValueError(f"a body of {len(packed)} bytes, {MAX_BODY_BYTES} at most")
+        message = HEADER.pack(VERSION, kind, self.me, to, self.serial & 0xFFFFFFFF) + packed
         self.counts["sent"] += 1
-        return message + blake2s(message, key=self.key, digest_size=TAG).digest()
+        return message + blake2s(message, key=self.key, digest_size=TAG_BYTES).digest()
 
     def unpack(self, data: bytes) -> tuple[int, int, list] | None:
         """Kind, sender and body; None where the datagram is not to be believed."""
-        if not HEAD.size + TAG < len(data) <= MOST_BYTES:
+        if not HEADER.size + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return self._drop("length")
-        message, tag = data[:-TAG], data[-TAG:]
-        version, kind, sender, receiver, serial = HEAD.unpack_from(message)
+        message, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
+        version, kind, sender, receiver, serial = HEADER.unpack_from(message)
         if version != VERSION:
             return self._drop("version")
         # The tag is judged before anything that a stranger could learn from or make this side remember.
-        if not compare_digest(tag, blake2s(message, key=self.key, digest_size=TAG).digest()):
+        if not compare_digest(tag, blake2s(message, key=self.key, digest_size=TAG_BYTES).digest()):
             return self._drop("stranger")
-        if sender in (self.me, ANYBODY):
+        if sender in (self.me, ANY_RECEIVER):
             return self._drop("own")
-        if receiver != self.me and not (receiver == ANYBODY and kind == JOIN):
+        if receiver != self.me and not (receiver == ANY_RECEIVER and kind == JOIN):
             return self._drop("other_receiver")
-        if receiver == self.me and not self._fresh(sender, serial):
+        if receiver == self.me and not self._is_fresh(sender, serial):
             return self._drop("replay")
         try:
-            body = msgpack.unpackb(message[HEAD.size :], strict_map_key=False)
+            body = msgpack.unpackb(message[HEADER.size :], strict_map_key=False)
         except (ValueError, msgpack.UnpackException):
             return self._drop("body")
         if not isinstance(body, list):
@@ -85,19 +85,19 @@
         self.counts["received"] += 1
         return kind, sender, body
 
-    def _fresh(self, sender: int, serial: int) -> bool:
+    def _is_fresh(self, sender: int, serial: int) -> bool:
         high, seen = self.windows.get(sender, (0, 0))
         if serial > high:
-            seen = (seen << min(serial - high, WINDOW) | 1) & ((1 << WINDOW) - 1)
+            seen = (seen << min(serial - high, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
             high = serial
         else:
             bit = 1 << (high - serial)
-            if high - serial >= WINDOW or seen & bit:
+            if high - serial >= REPLAY_WINDOW or seen & bit:
                 return False
             seen |= bit
         self.windows[sender] = high, seen
         self.windows.move_to_end(sender)
-        if len(self.windows) > self.most:
+        if len(self.windows) > self.max_senders:
             self.windows.popitem(last=False)
         return True
 
--- a/rushweir/fleet/leader_lease.py
+++ b/rushweir/fleet/leader_lease.py
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from rushweir.fleet.core import Fleet
 
-RENEW_PART = 1 / 3  # of the term: then a holder asks again, so that a lost round leaves time for another
-ROUND_PART = 1 / 8  # of the term: a round that is not over by then has failed
+RENEW_SHARE = 1 / 3  # of the term: then a holder asks again, so that a lost round leaves time for another
+ROUND_SHARE = 1 / 8  # of the term: a round that is not over by then has failed
 NOBODY = 0
 PREPARING, PROPOSING = "preparing", "proposing"
 
@@ -36,26 +36,26 @@
     """One seed's vote: what it promised and granted."""
 
     def __init__(self, now: float, term_ms: float) -> None:
-        self.term = term_ms
+        self.lease_ms = term_ms
         self.silent_until = now + max_under_drift(term_ms)
-        self.promised, self.granted, self.holder, self.until = 0, 0, NOBODY, now
+        self.promised_ballot, self.accepted_ballot, self.holder, self.expires_at = 0, 0, NOBODY, now
 
     def prepare(self, now: float, ballot: int) -> tuple[bool, int] | None:
         """Whether it promises to grant nothing to lower ballots, and who has its grant; None: it has no vote yet."""
         if now < self.silent_until:
             return None
-        if ballot <= self.promised:
+        if ballot <= self.promised_ballot:
             return False, NOBODY
-        self.promised = ballot
-        return True, self.given(now)
+        self.promised_ballot = ballot
+        return True, self.current_holder(now)
 
     def propose(self, now: float, ballot: int, holder: int) -> bool | None:
         if now < self.silent_until:
             return None
-        if ballot < self.promised:
+        if ballot < self.promised_ballot:
             return False
-        self.promised = self.granted = ballot
-        self.holder, self.until = holder, now + self.term
+        self.promised_ballot = self.accepted_ballot = ballot
+        self.holder, self.expires_at = holder, now + self.lease_ms
         return True
 
     def release(self, holder: int) -> None:
@@ -63,8 +63,8 @@
         if self.holder == holder:
             self.holder = NOBODY
 
-    def given(self, now: float) -> int:
-        return self.holder if now < self.until else NOBODY
+    def current_holder(self, now: float) -> int:
+        return self.holder if now < self.expires_at else NOBODY
 
 
 @dataclass(slots=True)
@@ -72,23 +72,23 @@
     """One try to get or to renew the lease."""
 
     ballot: int
-    at: float  # when what it may give began to count
+    started_at: float  # when what it may give began to count
     phase: str = PREPARING
-    yes: set[int] = field(default_factory=set)
-    newest: tuple[int, int] = (0, 0)  # number of the newest view that a promise named, and who has it
+    votes: set[int] = field(default_factory=set)
+    newest_view: tuple[int, int] = (0, 0)  # number of the newest view that a promise named, and who has it
 
 
 class LeaderLease:
     """One seed's way to the lease."""
 
     def __init__(self, fleet: Fleet, vote: LeaseAcceptor) -> None:
-        self.fleet, self.vote, self.seed = fleet, vote, fleet.settings.voter
+        self.fleet, self.acceptor, self.seed_index = fleet, vote, fleet.settings.seed_index
         self.lease_ms = fleet.settings.leader_lease_ms
         self.majority = len(fleet.settings.seeds) // 2 + 1
         self.round: Round | None = None
         self.expires_at = fleet.now  # the lease is held before
-        self.renew_at = self.highest = 0.0
-        self.next_try = vote.silent_until
+        self.renew_at = self.highest_ballot = 0.0
+        self.next_try_at = vote.silent_until
 
     def is_held(self) -> bool:
         """Looked at in the turn in which something is done by it, so that a process that was paused does nothing."""
@@ -96,59 +96,59 @@
 
     def tick(self, _: object = None) -> None:
         now, fleet = self.fleet.now, self.fleet
-        if self.round is not None and now > self.round.at + self.lease_ms * ROUND_PART:
+        if self.round is not None and now > self.round.started_at + self.lease_ms * ROUND_SHARE:
             self.round = None
-            self.next_try = now + fleet.rng.uniform(0.5, 1.5) * self.lease_ms * ROUND_PART
+            self.next_try_at = now + fleet.rng.uniform(0.5, 1.5) * self.lease_ms * ROUND_SHARE
         if self.round is None and not fleet.leaving:
-            open_ = self.vote.given(now) in (NOBODY, fleet.me)
-            if self.is_held() and now >= self.renew_at or (not self.is_held() and open_ and now >= self.next_try):
-                self._begin()
-        fleet.at(self.lease_ms / 30, self.tick, None)
+            open_ = self.acceptor.current_holder(now) in (NOBODY, fleet.me)
+            if self.is_held() and now >= self.renew_at or (not self.is_held() and open_ and now >= self.next_try_at):
+                self._begin_round()
+        fleet.call_after(self.lease_ms / 30, self.tick, None)
 
-    def _begin(self) -> None:
+    def _begin_round(self) -> None:
         now, fleet = self.fleet.now, self.fleet
-        counter = (max(int(self.highest), self.vote.promised) >> SEED_BITS) + 1
-        self.round = Round(counter << SEED_BITS | self.seed, now)
+        counter = (max(int(self.highest_ballot), self.acceptor.promised_ballot) >> SEED_BITS) + 1
+        self.round = Round(counter << SEED_BITS | self.seed_index, now)
         for peer in fleet.other_seeds():
             fleet.send(f.PREPARE, peer.id, [self.round.ballot])
-        told = self.vote.prepare(now, self.round.ballot)
+        told = self.acceptor.prepare(now, self.round.ballot)
         if told is not None:
-            self.promised(fleet.me, self.round.ballot, told[0], told[1], fleet.view_manager.stored.number, 0)
+            self.on_promise(fleet.me, self.round.ballot, told[0], told[1], fleet.view_manager.stored.number, 0)
 
-    def promised(self, voter: int, ballot: int, ok: bool, holder: int, view: int, highest: int) -> None:
-        self.highest = max(self.highest, highest)
+    def on_promise(self, voter: int, ballot: int, ok: bool, holder: int, view: int, highest: int) -> None:
+        self.highest_ballot = max(self.highest_ballot, highest)
         r, now, fleet = self.round, self.fleet.now, self.fleet
         if r is None or r.ballot != ballot or r.phase != PREPARING or not ok or holder not in (NOBODY, fleet.me):
             return
-        r.yes.add(voter)
-        r.newest = max(r.newest, (view, voter))
-        if len(r.yes) < self.majority:
+        r.votes.add(voter)
+        r.newest_view = max(r.newest_view, (view, voter))
+        if len(r.votes) < self.majority:
             return
-        r.phase, r.at, r.yes = PROPOSING, now, set()
+        r.phase, r.started_at, r.votes = PROPOSING, now, set()
         for peer in fleet.other_seeds():
             fleet.send(f.PROPOSE, peer.id, [ballot])
-        if self.vote.propose(now, ballot, fleet.me):
+        if self.acceptor.propose(now, ballot, fleet.me):
             self.on_accept(fleet.me, ballot, True)
 
     def on_accept(self, voter: int, ballot: int, ok: bool) -> None:
         r, fleet = self.round, self.fleet
         if r is None or r.ballot != ballot or r.phase != PROPOSING or not ok:
             return
-        r.yes.add(voter)
-        if len(r.yes) < self.majority:
+        r.votes.add(voter)
+        if len(r.votes) < self.majority:
             return
         new, self.round = not self.is_held(), None
-        self.expires_at = r.at + min_under_drift(self.lease_ms)
-        self.renew_at = r.at + RENEW_PART * self.lease_ms
+        self.expires_at = r.started_at + min_under_drift(self.lease_ms)
+        self.renew_at = r.started_at + RENEW_SHARE * self.lease_ms
         if new and self.is_held():
             fleet.counts["elected"] += 1
-            fleet.note("info", "chair_taken", ballot=ballot)
-            fleet.view_manager.open(ballot, *r.newest)
+            fleet.log_event("info", "chair_taken", ballot=ballot)
+            fleet.view_manager.on_elected(ballot, *r.newest_view)
 
-    def give_up(self) -> None:
+    def release(self) -> None:
         """Hold it no more, and tell the other seeds that they need not wait."""
         if self.is_held():
             self.expires_at, self.round = self.fleet.now, None
-            self.vote.release(self.fleet.me)
+            self.acceptor.release(self.fleet.me)
             for peer in self.fleet.other_seeds():
                 self.fleet.send(f.LEASE_RELEASE, peer.id, [])
--- a/rushweir/fleet/members.py
+++ b/rushweir/fleet/members.py
@@ -25,16 +25,23 @@
 import msgpack
 
 from rushweir.fleet import frame as f
-from rushweir.fleet.settings import ANSWER_MS, FORGET_MS, HELPERS, PERIOD_MS, Address, suspicion_ms
+from rushweir.fleet.settings import (
+    FORGET_AFTER_MS,
+    INDIRECT_PROBE_COUNT,
+    PROBE_PERIOD_MS,
+    PROBE_TIMEOUT_MS,
+    Address,
+    suspicion_ms,
+)
 from rushweir.fleet.table import MEMBER
 
 if TYPE_CHECKING:
     from rushweir.fleet.core import Fleet
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-NAMES = ("alive", "suspect", "dead", "left")
+STATE_NAMES = ("alive", "suspect", "dead", "left")
 SILENT, OVERDUE, OBJECTED, GOODBYE = "silent", "overdue", "objected", "goodbye"
-NEXT = {
+TRANSITIONS = {
     (ALIVE, SILENT): SUSPECT,
     (SUSPECT, OVERDUE): DEAD,
     (SUSPECT, OBJECTED): ALIVE,
@@ -43,15 +50,18 @@
     (SUSPECT, GOODBYE): LEFT,
     (DEAD, GOODBYE): LEFT,
 }
-MOST_HEALTH = 8  # times the usual patience, at worst
+MAX_HEALTH = 8  # times the usual patience, at worst
 STALE_VIEW_SHARE, STALE_VIEW_MS = (
     1 / 4,
     1_200.0,
 )  # of a view's term, and at most: word that it is in force is stale then
 LEADER_PROBES_PER_PERIOD = 6  # members that ask the chair in each period, at most
-LATELY, LATELY_MS = 16, 1_000.0  # members that were heard last are remembered, and may be relied on for so long
-CLEARED = 2  # failed probes in a row that helpers confirm: then the fault is not here
-MOST_ZONE = 32  # bytes of a zone's name as it is told
+RECENT_SENDERS, RECENT_MS = (
+    16,
+    1_000.0,
+)  # members that were heard last are remembered, and may be relied on for so long
+CONFIRMED_FAILURES = 2  # failed probes in a row that helpers confirm: then the fault is not here
+MAX_ZONE_BYTES = 32  # bytes of a zone's name as it is told
 
 
 def version_of(incarnation: int, state: int) -> int:
@@ -71,7 +81,7 @@
 
 
 def pack(address: Address, zone: str) -> bytes:
-    short = zone.encode()[:MOST_ZONE].decode(errors="ignore")
+    short = zone.encode()[:MAX_ZONE_BYTES].decode(errors="ignore")
     return msgpack.packb([address[0], address[1], short])
 
 
@@ -92,15 +102,19 @@
         self.fleet, self.rng = fleet, fleet.rng
         self.incarnation = 1
         self.known: dict[int, Member] = {}
-        self.round: list[int] = []  # who is probed next, last first
-        self.probe: tuple[int, int] | None = None  # number and target of the probe that is out
+        self.probe_order: list[int] = []  # who is probed next, last first
+        self.pending_probe: tuple[int, int] | None = None  # number and target of the probe that is out
         self.serial = 0
-        self.helping: dict[int, tuple[int, int, int]] = {}  # own probe for another: who asked, its number, the target
+        self.indirect_probes: dict[
+            int, tuple[int, int, int]
+        ] = {}  # own probe for another: who asked, its number, the target
         self.health = 0  # how far this process mistrusts itself
-        self.lately: OrderedDict[int, float] = OrderedDict()  # who was heard, and when: latest last
-        self.waited: set[int] | None = None  # helpers that were lately heard and owe an answer; None: none was asked
-        self.cleared = 0  # failed probes in a row in which no helper was missing
-        self.due = 0.0
+        self.recent_senders: OrderedDict[int, float] = OrderedDict()  # who was heard, and when: latest last
+        self.missing_helpers: set[int] | None = (
+            None  # helpers that were lately heard and owe an answer; None: none was asked
+        )
+        self.confirmed_failures = 0  # failed probes in a row in which no helper was missing
+        self.next_period_at = 0.0
 
     # --- what is known ---------------------------------------------------------------------------
 
@@ -111,17 +125,17 @@
     def count(self) -> int:
         return 1 + sum(m.state <= SUSPECT for m in self.known.values() if m.id != self.fleet.me)
 
-    def at(self, address: Address) -> Member | None:
+    def alive_at(self, address: Address) -> Member | None:
         """The member that is alive at an address."""
         return next((m for m in self.known.values() if m.address == address and m.state <= SUSPECT), None)
 
-    def write(self, state: int = ALIVE) -> None:
+    def write_own_entry(self, state: int = ALIVE) -> None:
         """This process's own entry."""
         s, version = self.fleet.settings, version_of(self.incarnation, state)
         self.fleet.table.put(MEMBER, self.fleet.me, version, pack(s.address, s.zone))
         self.known[self.fleet.me] = Member(self.fleet.me, state, self.incarnation, s.address, s.zone)
 
-    def heard(self, row: list) -> bool:
+    def should_merge(self, row: list) -> bool:
         """An entry of a member came; whether it is to be merged."""
         _, origin, version, data = row
         if type(version) is not int or type(origin) is not int or not isinstance(data, bytes):
@@ -132,13 +146,13 @@
         if origin == self.fleet.me:
             if new.incarnation >= self.incarnation and new.state != ALIVE and not self.fleet.leaving:
                 self.incarnation = new.incarnation + 1
-                self.health = min(MOST_HEALTH, self.health + 1)
+                self.health = min(MAX_HEALTH, self.health + 1)
                 self.fleet.counts["objected"] += 1
-                self.write()
+                self.write_own_entry()
             return False
         return had is None or version > version_of(had.incarnation, had.state)
 
-    def took(self, origin: int) -> None:
+    def apply_entry(self, origin: int) -> None:
         """The table has a new entry of a member."""
         entry = self.fleet.table.get(MEMBER, origin)
         new = unpack(origin, *entry) if entry is not None else None
@@ -147,27 +161,27 @@
         had, self.known[origin] = self.known.get(origin), new
         if new.state == SUSPECT and (had is None or had.state < SUSPECT):
             patience = suspicion_ms(self.fleet.settings.slot_count) * (1 + self.health / 4)
-            self.fleet.at(patience, self._overdue, (origin, entry[0]))
+            self.fleet.call_after(patience, self._on_suspicion_timeout, (origin, entry[0]))
         elif new.state >= DEAD and (had is None or had.state < DEAD):
             self.fleet.counts["ended_members"] += 1
-            self.fleet.at(FORGET_MS, self._forget, origin)
+            self.fleet.call_after(FORGET_AFTER_MS, self._forget, origin)
         if had is None or had.state != new.state:
             self.fleet.member_changed(new, had)
 
-    def _judge(self, id_: int, event: str) -> None:
+    def _change_state(self, id_: int, event: str) -> None:
         m = self.known.get(id_)
-        state = NEXT.get((m.state, event)) if m is not None else None
+        state = TRANSITIONS.get((m.state, event)) if m is not None else None
         if state is not None and self.fleet.table.put(
             MEMBER, id_, version_of(m.incarnation, state), pack(m.address, m.zone)
         ):
             self.fleet.counts[event] += 1
-            self.took(id_)
+            self.apply_entry(id_)
 
-    def _overdue(self, what: tuple[int, int]) -> None:
+    def _on_suspicion_timeout(self, what: tuple[int, int]) -> None:
         id_, version = what
         m = self.known.get(id_)
         if m is not None and version_of(m.incarnation, m.state) == version:
-            self._judge(id_, OVERDUE)
+            self._change_state(id_, OVERDUE)
 
     def _forget(self, id_: int) -> None:
         m = self.known.get(id_)
@@ -176,7 +190,7 @@
             self.fleet.table.forget_origin(id_)
 
     def leave(self) -> None:
-        self.write(LEFT)
+        self.write_own_entry(LEFT)
 
     # --- probes ----------------------------------------------------------------------------------
 
@@ -184,24 +198,26 @@
         """A period is over, and another begins."""
         now = self.fleet.now
         late = now - planned
-        if late > PERIOD_MS:
+        if late > PROBE_PERIOD_MS:
             # This process was away. That nobody answered it proves nothing about anybody.
             self.fleet.counts["away"] += 1
-            self.health = min(MOST_HEALTH, self.health + 1 + int(late / (4 * PERIOD_MS)))
-            self.probe = None
-        if self.probe is not None:
-            self._blame()
-            self._judge(self.probe[1], SILENT)
-            self.probe = None
-        self.helping = {n: h for n, h in self.helping.items() if n > self.serial - 64}
-        if (target := self._next()) is not None:
+            self.health = min(MAX_HEALTH, self.health + 1 + int(late / (4 * PROBE_PERIOD_MS)))
+            self.pending_probe = None
+        if self.pending_probe is not None:
+            self._update_health()
+            self._change_state(self.pending_probe[1], SILENT)
+            self.pending_probe = None
+        self.indirect_probes = {n: h for n, h in self.indirect_probes.items() if n > self.serial - 64}
+        if (target := self._next_target()) is not None:
             self.serial += 1
-            self.probe, self.waited = (self.serial, target), None
+            self.pending_probe, self.missing_helpers = (self.serial, target), None
             self.fleet.send_probe(f.PROBE, target, self.serial)
-            self.fleet.at(ANSWER_MS * (1 + self.health / 4), self._ask_others, self.probe)
+            self.fleet.call_after(
+                PROBE_TIMEOUT_MS * (1 + self.health / 4), self._probe_indirectly, self.pending_probe
+            )
         self._probe_leader()
-        self.due = now + PERIOD_MS * (1 + self.health / 4)
-        self.fleet.at(self.due - now, self.tick, self.due)
+        self.next_period_at = now + PROBE_PERIOD_MS * (1 + self.health / 4)
+        self.fleet.call_after(self.next_period_at - now, self.tick, self.next_period_at)
 
     def _probe_leader(self) -> None:
         """Word that the view is in force comes with any answer, but from hand to hand. Who has none for a while asks
@@ -213,83 +229,88 @@
         known = self.known.get(chair)
         if self.rng.random() * self.count() >= LEADER_PROBES_PER_PERIOD:
             return
-        if not fleet.exchange.catch_up() and chair != fleet.me and known is not None and known.state <= SUSPECT:
+        if (
+            not fleet.exchange.request_newer_view()
+            and chair != fleet.me
+            and known is not None
+            and known.state <= SUSPECT
+        ):
             self.serial += 1
             fleet.send_probe(f.PROBE, chair, self.serial)
 
-    def _next(self) -> int | None:
-        while self.round:
-            id_ = self.round.pop()
+    def _next_target(self) -> int | None:
+        while self.probe_order:
+            id_ = self.probe_order.pop()
             m = self.known.get(id_)
             if m is not None and m.state <= SUSPECT and id_ != self.fleet.me:
                 return id_
-        self.round = [m.id for m in self.alive()]
-        self.rng.shuffle(self.round)
-        return self.round.pop() if self.round else None
+        self.probe_order = [m.id for m in self.alive()]
+        self.rng.shuffle(self.probe_order)
+        return self.probe_order.pop() if self.probe_order else None
 
-    def _blame(self) -> None:
+    def _update_health(self) -> None:
         """A probe failed: is the fault here? Lifeguard (3.1) goes by the answers of helpers, not by the target's:
         where most of a fleet is gone nearly each probe fails, and who probes is well. It is where all helpers that
         were lately heard answered, twice in a row: in noise a single time is often luck. Where none of three did,
         rather this process is deaf than they."""
-        if self.waited is not None and not self.waited:
-            self.cleared += 1
+        if self.missing_helpers is not None and not self.missing_helpers:
+            self.confirmed_failures += 1
         else:
-            self.cleared = 0
-        if self.cleared >= CLEARED:
+            self.confirmed_failures = 0
+        if self.confirmed_failures >= CONFIRMED_FAILURES:
             self.health = max(0, self.health - 2)  # two round trips at least went well
         else:
-            missing = len(self.waited) if self.waited is not None else 0
-            self.health = min(MOST_HEALTH, self.health + (2 if missing == HELPERS else 1))
+            missing = len(self.missing_helpers) if self.missing_helpers is not None else 0
+            self.health = min(MAX_HEALTH, self.health + (2 if missing == INDIRECT_PROBE_COUNT else 1))
 
-    def _ask_others(self, probe: tuple[int, int]) -> None:
+    def _probe_indirectly(self, probe: tuple[int, int]) -> None:
         """Helpers are first of all such as were heard lately: who is gone itself helps nobody, and only of those is
         the lack of an answer a sign."""
-        if self.probe != probe:
+        if self.pending_probe != probe:
             return
         others = [m.id for m in self.alive() if m.id != probe[1] and m.state == ALIVE]
         self.rng.shuffle(others)
-        sure = {id_ for id_, at in self.lately.items() if self.fleet.now - at <= LATELY_MS}
-        helpers = sorted(others, key=lambda id_: id_ not in sure)[:HELPERS]
-        self.waited = sure.intersection(helpers) or None
+        sure = {id_ for id_, at in self.recent_senders.items() if self.fleet.now - at <= RECENT_MS}
+        helpers = sorted(others, key=lambda id_: id_ not in sure)[:INDIRECT_PROBE_COUNT]
+        self.missing_helpers = sure.intersection(helpers) or None
         for helper in helpers:
             self.fleet.send(f.INDIRECT_PROBE, helper, [probe[0], probe[1]])
 
-    def asked_for(self, sender: int, number: int, target: int) -> None:
+    def on_indirect_probe(self, sender: int, number: int, target: int) -> None:
         """Another could not reach a member, and asks whether this one can."""
         m = self.known.get(target)
-        if m is None or m.state > SUSPECT or len(self.helping) >= 64:
+        if m is None or m.state > SUSPECT or len(self.indirect_probes) >= 64:
             return
         self.serial += 1
-        self.helping[self.serial] = (sender, number, target)
+        self.indirect_probes[self.serial] = (sender, number, target)
         self.fleet.send_probe(f.PROBE, target, self.serial)
-        self.fleet.at(ANSWER_MS, self._not_reached, self.serial)
+        self.fleet.call_after(PROBE_TIMEOUT_MS, self._send_nack, self.serial)
 
-    def _not_reached(self, number: int) -> None:
+    def _send_nack(self, number: int) -> None:
         """The target does not answer this member either: who asked may trust itself."""
-        if (asked := self.helping.get(number)) is not None:
+        if (asked := self.indirect_probes.get(number)) is not None:
             self.fleet.send(f.INDIRECT_NACK, asked[0], [asked[1], asked[2]])
 
-    def heard_of(self, sender: int) -> None:
+    def on_datagram(self, sender: int) -> None:
         """Any datagram of a member came."""
-        self.lately[sender] = self.fleet.now
-        self.lately.move_to_end(sender)
-        if len(self.lately) > LATELY:
-            self.lately.popitem(last=False)
+        self.recent_senders[sender] = self.fleet.now
+        self.recent_senders.move_to_end(sender)
+        if len(self.recent_senders) > RECENT_SENDERS:
+            self.recent_senders.popitem(last=False)
 
-    def answered(self, sender: int, number: int) -> None:
+    def on_ack(self, sender: int, number: int) -> None:
         """A probe of this member's was answered."""
-        if self.probe == (number, sender):
-            self.probe = None
+        if self.pending_probe == (number, sender):
+            self.pending_probe = None
             self.health = max(0, self.health - 1)
-        elif (asked := self.helping.pop(number, None)) is not None and asked[2] == sender:
+        elif (asked := self.indirect_probes.pop(number, None)) is not None and asked[2] == sender:
             self.fleet.send(f.INDIRECT_ACK, asked[0], [asked[1], sender])
 
-    def answered_for(self, number: int, target: int) -> None:
-        if self.probe == (number, target):
-            self.probe = None
+    def on_indirect_ack(self, number: int, target: int) -> None:
+        if self.pending_probe == (number, target):
+            self.pending_probe = None
 
-    def not_reached_by(self, helper: int, number: int, target: int) -> None:
+    def on_indirect_nack(self, helper: int, number: int, target: int) -> None:
         """A helper had no answer of the target."""
-        if self.probe == (number, target) and self.waited is not None:
-            self.waited.discard(helper)
+        if self.pending_probe == (number, target) and self.missing_helpers is not None:
+            self.missing_helpers.discard(helper)
--- a/rushweir/fleet/settings.py
+++ b/rushweir/fleet/settings.py
@@ -7,14 +7,16 @@
 
 Address = tuple[str, int]
 
-PERIOD_MS = 400.0  # one member is probed in each
-ANSWER_MS = 150.0  # a probe that is not answered by then is asked of others; they have the rest of the period
-HELPERS = 3  # that are asked so
-REST_MS = 1_000.0  # between two looks whether the table differs from another's
-JOIN_MS = 1_000.0  # between two calls to seeds that are not known to be alive
-FORGET_MS = 60_000.0  # a member that ended is known for so long, so that late news of it are known to be late
-MOST_SEEDS = 7  # three bear the loss of one, five of two, seven of three
-ENDED_KEPT = 3  # entries of members that ended, for each number that there is: a fleet restarted thrice in FORGET_MS
+PROBE_PERIOD_MS = 400.0  # one member is probed in each
+PROBE_TIMEOUT_MS = 150.0  # a probe that is not answered by then is asked of others; they have the rest of the period
+INDIRECT_PROBE_COUNT = 3  # that are asked so
+COMPARE_INTERVAL_MS = 1_000.0  # between two looks whether the table differs from another's
+JOIN_INTERVAL_MS = 1_000.0  # between two calls to seeds that are not known to be alive
+FORGET_AFTER_MS = 60_000.0  # a member that ended is known for so long, so that late news of it are known to be late
+MAX_SEEDS = 7  # three bear the loss of one, five of two, seven of three
+ENDED_MEMBERS_PER_SLOT = (
+    3  # entries of members that ended, for each number that there is: a fleet restarted thrice in FORGET_MS
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,30 +35,30 @@
     apps_per_s: float = 12.0  # and of those that use it
 
     def __post_init__(self) -> None:
-        if not 1 <= len(self.seeds) <= MOST_SEEDS or len(set(self.seeds)) < len(self.seeds):
-            raise ValueError(f"seeds: 1 to {MOST_SEEDS}, each once")
+        if not 1 <= len(self.seeds) <= MAX_SEEDS or len(set(self.seeds)) < len(self.seeds):
+            raise ValueError(f"seeds: 1 to {MAX_SEEDS}, each once")
         if self.wanted_slot >= self.slot_count:
             raise ValueError("wanted: a number below most")
         if self.keep_ms <= self.view_ms:
             raise ValueError("keep: longer than the term of a view")
 
     @property
-    def voter(self) -> int:
+    def seed_index(self) -> int:
         """Its place among the seeds; -1: it is none."""
         return self.seeds.index(self.address) if self.address in self.seeds else -1
 
     @property
-    def most_entries(self) -> int:
-        return self.slot_count * (1 + ENDED_KEPT) + len(self.seeds)
+    def max_entries(self) -> int:
+        return self.slot_count * (1 + ENDED_MEMBERS_PER_SLOT) + len(self.seeds)
 
 
 def suspicion_ms(most: int) -> float:
     """How long a silent member of a fleet of so many may object before it counts as dead: word of it has to reach it
     by others, and its objection to come back, which takes the more steps the more there are (SWIM, 4.2). By the
     numbers that there are, not by the members known: who joins knows few, and took many for dead."""
-    return PERIOD_MS * (4 + 3 * log10(most))
+    return PROBE_PERIOD_MS * (4 + 3 * log10(most))
 
 
-def told_times(most: int) -> int:
+def retransmit_limit(most: int) -> int:
     """How often news are told along by each that has them (SWIM, 4.1: a small multiple of the logarithm)."""
     return 2 + round(3 * log10(most))
--- a/rushweir/fleet/views.py
+++ b/rushweir/fleet/views.py
@@ -20,14 +20,14 @@
 from rushweir.fleet.settings import Address
 
 ACTIVE, LOST = 0, 1
-STATES = ("seated", "lost")
+STATE_NAMES = ("seated", "lost")
 SEED_BITS = 3
-MOST_HOST = 45  # characters of an address as text, IPv6 with the longest form
-SEAT_BYTES = 70
+MAX_HOST_CHARS = 45  # characters of an address as text, IPv6 with the longest form
+SLOT_BYTES = 70
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class Slot:
     """A number, and the process that has it."""
 
     id: int
@@ -38,7 +38,7 @@
         return msgpack.packb([self.id, *self.address, self.state])
 
 
-def seat(data: bytes) -> Seat | None:
+def unpack_slot(data: bytes) -> Slot | None:
     """A seat as it travels; None for a free one, or for what is no seat."""
     if not data:
         return None
@@ -47,7 +47,7 @@
     except (ValueError, TypeError, msgpack.UnpackException):
         return None
     good = type(id_) is int and isinstance(host, str) and type(port) is int and state in (ACTIVE, LOST)
-    return Seat(id_, (host, port), state) if good else None
+    return Slot(id_, (host, port), state) if good else None
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,40 +55,40 @@
     """Numbered seats. ``number`` 0: none was ever agreed on."""
 
     number: int = 0
-    slots: dict[int, Seat] = field(default_factory=dict)
+    slots: dict[int, Slot] = field(default_factory=dict)
 
     def digest(self) -> bytes:
         text = b"".join(b"%d %b " % (n, self.slots[n].pack()) for n in sorted(self.slots))
         return blake2b(text, digest_size=8).digest()
 
-    def number_of(self, id_: int) -> int:
+    def slot_of(self, id_: int) -> int:
         """The seat of a process; -1: it has none."""
         return next((n for n, s in self.slots.items() if s.id == id_), -1)
 
-    def holds(self, id_: int) -> bool:
+    def has_active_slot(self, id_: int) -> bool:
         """Whether a process has a seat and is not lost."""
-        n = self.number_of(id_)
+        n = self.slot_of(id_)
         return n >= 0 and self.slots[n].state == ACTIVE
 
 
-def next_number(after: int, seed: int) -> int:
+def next_view_number(after: int, seed: int) -> int:
     """The number of a view that a seed makes after another."""
     return ((after >> SEED_BITS) + 1 << SEED_BITS) | seed
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class SlotRequest:
     """A process asks for a seat; ``number`` -1: for any."""
 
     id: int
     address: Address
-    number: int = -1
+    slot: int = -1
 
 
-def allot(
-    seats: dict[int, Seat], most: int, wishes: Iterable[Wish], left: Iterable[int], silent: Iterable[int],
+def assign_slots(
+    seats: dict[int, Slot], most: int, wishes: Iterable[SlotRequest], left: Iterable[int], silent: Iterable[int],
     freed: Iterable[int], changes: int,
-) -> tuple[dict[int, Seat], dict[int, str]]:  # fmt: skip
+) -> tuple[dict[int, Slot], dict[int, str]]:  # fmt: skip
     """The seats that follow, with at most so many ``changes``, and why a wish is refused, by process.
 
     ``left`` and ``silent`` are processes; ``freed`` are numbers whose LOST holders were silent for long enough."""
@@ -116,13 +116,13 @@
             continue
         same = [n for n, s in new.items() if s.id == w.id]
         before = next(iter([*same, *(n for n, s in new.items() if s.address == w.address)]), None)
-        if before is not None and w.number in (-1, before):
+        if before is not None and w.slot in (-1, before):
             n = before
         elif before is not None and new[before].id == w.id:
             refused[w.id] = f"it has number {before}"
             continue
-        elif w.number >= 0:
-            n = w.number
+        elif w.slot >= 0:
+            n = w.slot
             if n >= most:
                 refused[w.id] = f"numbers go up to {most - 1}"
                 continue
@@ -130,7 +130,7 @@
                 continue
             if n in new:
                 host, port = new[n].address
-                refused[w.id] = f"number {n} is that of {host}:{port}, {STATES[new[n].state]}"
+                refused[w.id] = f"number {n} is that of {host}:{port}, {STATE_NAMES[new[n].state]}"
                 continue
         else:
             n = next((n for n in range(most) if n not in new and n not in vacated), -1)
@@ -142,5 +142,5 @@
         for other in [k for k, s in new.items() if k != n and (s.id == w.id or s.address == w.address)]:
             del new[other]
             vacated.add(other)
-        new[n] = Seat(w.id, w.address)
+        new[n] = Slot(w.id, w.address)
     return new, refused
--- a/tests/budgets/test_allocation.py
+++ b/tests/budgets/test_allocation.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushweir.budgets.allocation import divide, floor_of, settled, split
+from rushweir.budgets.allocation import allocate, is_settled, minimum_amount, split_by_weight
 
 DEMANDS = st.dictionaries(st.integers(0, 400), st.integers(0, 50_000), max_size=40)
 
@@ -13,7 +13,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 100_000), DEMANDS)
 def test_parts_add_up_to_the_whole_and_nobody_is_poorer_for_another(whole, demands):
-    parts = divide(whole, demands)
+    parts = allocate(whole, demands)
     hungry = [k for k, d in demands.items() if d > 0]
     assert parts.keys() == demands.keys() and all(p >= 0 for p in parts.values())
     assert sum(parts.values()) == (whole if hungry else 0)
@@ -28,32 +28,32 @@
 @given(st.integers(0, 100_000), DEMANDS, st.integers(2, 9))
 def test_a_weight_is_worth_as_much_in_any_scale(whole, demands, times):
     weights = {k: 1 + k % 3 for k in demands}
-    assert divide(whole, demands, weights) == divide(whole, demands, {k: w * times for k, w in weights.items()})
+    assert allocate(whole, demands, weights) == allocate(whole, demands, {k: w * times for k, w in weights.items()})
 
 
 def test_a_heavier_weight_gets_more_of_what_is_short():
-    assert divide(900, {1: 1000, 2: 1000, 3: 100}, {1: 3, 2: 1, 3: 1}) == {1: 600, 2: 200, 3: 100}
+    assert allocate(900, {1: 1000, 2: 1000, 3: 100}, {1: 3, 2: 1, 3: 1}) == {1: 600, 2: 200, 3: 100}
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 50_000), st.integers(1, 300), st.integers(0, 2**56), st.sampled_from([1, 1000]))
 def test_floors_of_all_numbers_are_the_floor_and_no_part_of_a_unit(whole, numbers, budget, unit):
-    floors = [floor_of(budget, n, numbers, whole, unit) for n in range(numbers)]
+    floors = [minimum_amount(budget, n, numbers, whole, unit) for n in range(numbers)]
     assert sum(floors) == whole // unit * unit and all(f % unit == 0 for f in floors)
     assert max(floors) - min(floors) <= unit
 
 
 def test_what_is_left_over_of_floors_goes_elsewhere_for_another_budget():
-    owners = {tuple(n for n in range(12) if floor_of(b, n, 12, 5000, 1000)) for b in range(20)}
+    owners = {tuple(n for n in range(12) if minimum_amount(b, n, 12, 5000, 1000)) for b in range(20)}
     assert all(len(o) == 5 for o in owners) and len(owners) > 10
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10_000), st.lists(st.integers(0, 9), max_size=12))
 def test_a_split_is_exact(whole, weights):
-    assert sum(split(whole, weights)) == (whole if sum(weights) else 0)
+    assert sum(split_by_weight(whole, weights)) == (whole if sum(weights) else 0)
 
 
 def test_small_changes_move_nothing():
-    assert settled({1: 100, 2: 200}, {1: 95, 2: 205}) and not settled({1: 100}, {1: 100, 2: 5})
-    assert not settled({1: 100, 2: 200}, {1: 80, 2: 220})
+    assert is_settled({1: 100, 2: 200}, {1: 95, 2: 205}) and not is_settled({1: 100}, {1: 100, 2: 5})
+    assert not is_settled({1: 100, 2: 200}, {1: 80, 2: 220})
--- a/tests/budgets/test_home.py
+++ b/tests/budgets/test_home.py
@@ -73,7 +73,7 @@
     home = BudgetOwner(0.0, TERM, 5_000.0)
     assert home.request(4_999.0, 1, 1, 0, 9_000, WHOLE) is None
     part, add = home.request(5_000.0, 1, 2, 0, 9_000, WHOLE)
-    assert part.rate == LENT.rate and home.kept == Share(10_000, 13_333) and add == 0
+    assert part.rate == LENT.rate and home.retained == Share(10_000, 13_333) and add == 0
 
 
 def test_what_was_lent_is_free_when_it_is_surely_over_or_given_up():
@@ -119,15 +119,15 @@
     home.request(400.0, 1, 2, 1, 50_000, half)
     home.request(410.0, 1, 3, 2, 50_000, half)
     assert home.request(420.0, 2, 2, 0, 50_000, WHOLE)[0].rate <= LENT.rate // 4
-    assert home.whole.rate + home.kept.rate == half.rate
+    assert home.leasable.rate + home.retained.rate == half.rate
 
 
 def test_a_ledger_handed_over_twice_counts_what_nobody_asked_for_in_between():
     """Its grants went under serial 0, and were dropped at the holder's next question (simulated day 503)."""
     first, second, third = BudgetOwner(0.0, TERM, 0.0), BudgetOwner(0.0, TERM, 9e9), BudgetOwner(0.0, TERM, 9e9)
     first.request(0.0, 1, 7, 0, 50_000, WHOLE)
-    second.load(10.0, first.dump(10.0))
-    third.load(20.0, second.dump(20.0))
+    second.restore(10.0, first.ownership_state(10.0))
+    third.restore(20.0, second.ownership_state(20.0))
     third.request(30.0, 1, 8, 7, 1_000, WHOLE)
     assert third.request(40.0, 2, 1, 0, 50_000, WHOLE)[0] == NO_SHARE
 
@@ -136,7 +136,7 @@
     old = BudgetOwner(0.0, TERM, 0.0)
     old.request(0.0, 1, 7, 0, 50_000, WHOLE)
     new = BudgetOwner(100.0, TERM, 9e9)
-    new.load(120.0, old.dump(100.0))
+    new.restore(120.0, old.ownership_state(100.0))
     assert new.request(130.0, 2, 1, 0, 50_000, WHOLE)[0] == NO_SHARE
     part, _ = new.request(140.0, 1, 8, 7, 50_000, WHOLE)
     assert 0 < part.rate <= LENT.rate // 2 + 1
--- a/tests/budgets/test_rules.py
+++ b/tests/budgets/test_rules.py
@@ -5,9 +5,9 @@
 import pytest
 
 from rushweir.budgets.core import Budgets
-from rushweir.budgets.leasing import MASK
+from rushweir.budgets.leasing import CRC_MASK
 from rushweir.budgets.records import BudgetTotal, budget_key
-from rushweir.fleet.view_manager import PUTTING
+from rushweir.fleet.view_manager import PROPOSING
 from rushweir.lab.sim.budget_plants import Planted
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.spenders import Sharers
@@ -16,7 +16,9 @@
 
 COUNT, TERM_MS = 6, 2_000.0
 # Of this budget the next number that is given is the home.
-NAME = next(n for n in map(str, range(100)) if rendezvous(budget_key(n) & MASK, set(range(COUNT + 1)), 1)[0] == COUNT)
+NAME = next(
+    n for n in map(str, range(100)) if rendezvous(budget_key(n) & CRC_MASK, set(range(COUNT + 1)), 1)[0] == COUNT
+)
 WHOLE, HALF = BudgetTotal.from_units(40, 60), BudgetTotal.from_units(20, 30)
 SETTINGS = {"keep_ms": 12_000.0, "view_ms": 3_000.0}
 
@@ -66,7 +68,7 @@
     if s.world.at[s.fleet.place(old)] is chair:
         return False
     s.fleet.start(COUNT)
-    while chair.core.view_manager.state != PUTTING:
+    while chair.core.view_manager.state != PROPOSING:
         s.world.run(s.world.now + 0.2)
     s.cut({old, other})
     s.world.run(s.world.now + 3 * TERM_MS)
--- a/tests/budgets/test_two.py
+++ b/tests/budgets/test_two.py
@@ -8,7 +8,7 @@
 import pytest
 
 from rushweir import interface as i
-from rushweir import state as st
+from rushweir.outbox import unpack_entries
 from rushweir.policy import Policy
 from rushweir.policy.quota import ADMITTED, ASK, ENTRY_FORMAT, REFUSED
 
@@ -46,7 +46,7 @@
         for _ in range(40):  # mail goes in its own time
             for a in self.last:
                 if isinstance(a, i.Tell):
-                    for kind, *_, over, number in st.unpack_entries(ENTRY_FORMAT, a.text):
+                    for kind, *_, over, number in unpack_entries(ENTRY_FORMAT, a.text):
                         if kind == ASK:
                             self.own = not over % 2  # whether the door's own part pays
                             return number
--- a/tests/fleet/test_cuts.py
+++ b/tests/fleet/test_cuts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.members import DEAD, MOST_HEALTH
+from rushweir.fleet.members import DEAD, MAX_HEALTH
 from rushweir.fleet.members import Members as Probes
 from rushweir.lab.sim.fleets import KEY, Members
 from rushweir.lab.sim.world import World
@@ -25,8 +25,8 @@
 
 
 class BlamingProbes(Probes):
-    def _blame(self) -> None:
-        self.health = min(MOST_HEALTH, self.health + 1)
+    def _update_health(self) -> None:
+        self.health = min(MAX_HEALTH, self.health + 1)
 
 
 def together(seed: int, count: int, kind: type[Fleet]) -> tuple[World, Members]:
@@ -66,7 +66,7 @@
     world, fleet = together(1, 6, kind)
     world.split([Members.place(0)], [Members.place(k) for k in range(1, 6)])
     world.run(world.now + 6_000.0)
-    assert fleet.fleet(0).members.health > MOST_HEALTH / 2
+    assert fleet.fleet(0).members.health > MAX_HEALTH / 2
     assert max(fleet.fleet(k).members.health for k in range(1, 6)) <= 2
 
 
@@ -96,5 +96,5 @@
 
 
 class HastyProbes(Probes):
-    def _blame(self) -> None:
+    def _update_health(self) -> None:
         self.health = 0
--- a/tests/fleet/test_frame.py
+++ b/tests/fleet/test_frame.py
@@ -23,7 +23,7 @@
     assert b.unpack(data) is None and b.counts["dropped_replay"] == 1
     assert f.Frames(3, KEY, 8).unpack(data) is None
     assert a.unpack(data) is None and a.counts["dropped_own"] == 1
-    assert len(data) <= f.MOST_BYTES and data[0] != QUOTAS
+    assert len(data) <= f.MAX_DATAGRAM_BYTES and data[0] != QUOTAS
 
 
 def test_what_was_recorded_for_a_process_is_worthless_for_its_successor():
@@ -35,15 +35,15 @@
 
 def test_only_a_call_to_join_may_come_without_a_receiver():
     a, b = pair()
-    assert b.unpack(a.pack(f.JOIN, f.ANYBODY, [1])) is not None
-    assert b.unpack(a.pack(f.ROWS, f.ANYBODY, [1])) is None
+    assert b.unpack(a.pack(f.JOIN, f.ANY_RECEIVER, [1])) is not None
+    assert b.unpack(a.pack(f.ROWS, f.ANY_RECEIVER, [1])) is None
 
 
 def test_datagrams_that_overtake_each_other_are_all_taken_within_the_window():
     a, b = pair()
-    sent = [a.pack(f.PROBE, 2, [k]) for k in range(f.WINDOW + 10)]
+    sent = [a.pack(f.PROBE, 2, [k]) for k in range(f.REPLAY_WINDOW + 10)]
     assert b.unpack(sent[-1]) is not None
-    assert b.unpack(sent[-f.WINDOW]) is not None and b.unpack(sent[-2]) is not None
+    assert b.unpack(sent[-f.REPLAY_WINDOW]) is not None and b.unpack(sent[-2]) is not None
     assert b.unpack(sent[0]) is None and b.unpack(sent[-2]) is None
 
 
--- a/tests/fleet/test_noise.py
+++ b/tests/fleet/test_noise.py
@@ -69,7 +69,7 @@
 def test_who_hears_of_a_newer_view_asks_for_it(monkeypatch, kind, found):
     """Without comparisons, and with all rumours told: only asking is left. The chair's answer alone does not do."""
     monkeypatch.setattr(Exchange, "_compare", lambda self, _: None)
-    monkeypatch.setattr("rushweir.fleet.core.told_times", lambda most: 1)
+    monkeypatch.setattr("rushweir.fleet.core.retransmit_limit", lambda slot_count: 1)
     assert len(views(*behind(kind), 21_000.0)) == found
 
 
@@ -81,10 +81,10 @@
     world.run(15_000.0)
     member = next(fleet.fleet(k) for k in range(3) if not fleet.fleet(k).leader_lease.is_held())
     sender = next(m.id for m in member.members.alive())
-    member.exchange.heard(sender, 1 << 40)
-    assert member.exchange.catch_up() and not member.exchange.catch_up()
-    member.exchange.heard(sender, member.view.number)
-    assert not member.exchange.catch_up()
+    member.exchange.on_view_report(sender, 1 << 40)
+    assert member.exchange.request_newer_view() and not member.exchange.request_newer_view()
+    member.exchange.on_view_report(sender, member.view.number)
+    assert not member.exchange.request_newer_view()
 
 
 def test_who_lost_its_seat_asks_for_it_as_often_as_who_has_none(monkeypatch):
@@ -103,13 +103,15 @@
     world.net.cut |= {(Members.place(3), Members.place(k)) for k in range(3)}
     until_lost(chair)
     world.net.cut.clear()
-    monkeypatch.setattr("rushweir.fleet.view_manager.ViewManager.wish", lambda *_: None)  # what it asks is lost
+    monkeypatch.setattr(
+        "rushweir.fleet.view_manager.ViewManager.request_slot", lambda *_: None
+    )  # what it asks is lost
     until_lost(lost)
     asked = []
     send = Fleet.send
 
     def counted(self, kind, to, body):
-        if kind == f.SEAT_ASK:
+        if kind == f.SLOT_REQUEST:
             asked.append(self.now)
         send(self, kind, to, body)
 
--- a/tests/fleet/test_serve.py
+++ b/tests/fleet/test_serve.py
@@ -56,9 +56,11 @@
         12,
         -1,
     )
-    assert (fleet.view_ms, fleet.keep_ms, fleet.voter, made.me) == (4000.0, 60_000.0, 0, -1)
+    assert (fleet.view_ms, fleet.keep_ms, fleet.seed_index, made.me) == (4000.0, 60_000.0, 0, -1)
     sharing = made.settings().sharing
-    assert sharing.messages_per_s == 33.0 and sharing.lent  # of 60; the fleet and its budgets have the rest
+    assert (
+        sharing.messages_per_s == 33.0 and sharing.leased_ceilings
+    )  # of 60; the fleet and its budgets have the rest
     assert settings(base, PEERS % 9001, "1 3").fleet() is None
 
 
@@ -87,8 +89,11 @@
     config = settings(base, PEERS % 9001 + FLEET % "term 4s", "1 12")
     service = Service(base / "a.conf", config, make_log(config))
     first = service._setup(config).fleet
-    taker = service.member.apps[TOPIC]
-    assert service._setup(config).fleet is first and service.member.apps[TOPIC] == taker == first.budgets._heard
+    taker = service.member.app_handlers[TOPIC]
+    assert (
+        service._setup(config).fleet is first
+        and service.member.app_handlers[TOPIC] == taker == first.budgets._on_message
+    )
     service._ended_early(0)
 
 
--- a/tests/fleet/test_sketch.py
+++ b/tests/fleet/test_sketch.py
@@ -7,7 +7,7 @@
 from rushweir.fleet import frame as f
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.exchange import Exchange
-from rushweir.fleet.table import MEMBER, PARTS, Table
+from rushweir.fleet.table import BUCKETS, MEMBER, Table
 from rushweir.lab.sim.fleets import KEY, Members
 from rushweir.lab.sim.world import World
 
@@ -21,13 +21,13 @@
 
 
 class BlindExchange(Exchange):
-    def differs(self, sender: int, digest: bytes, answer: bool) -> None:
-        if not answer and len(self.fleet.table.differing(digest)) > PARTS / 4:
-            super().differs(sender, digest, True)
+    def on_digest(self, sender: int, digest: bytes, answer: bool) -> None:
+        if not answer and len(self.fleet.table.differing(digest)) > BUCKETS / 4:
+            super().on_digest(sender, digest, True)
             if self.fleet.may_send():
                 self._send_digest(sender, True)
         else:
-            super().differs(sender, digest, answer)
+            super().on_digest(sender, digest, answer)
 
 
 def one_view_s(seed: int, kind: type[Fleet], count: int = 60) -> float:
@@ -58,12 +58,14 @@
         if origin % 2:
             half.put(MEMBER, origin, 1 + (origin == 99), b"x")
     lacks = set()
-    for part in range(PARTS):
-        marks = half.marks(part)
-        lacks |= set(full.unmarked(part, {marks[k : k + 2] for k in range(0, len(marks), 2)}))
+    for part in range(BUCKETS):
+        marks = half.bucket_hashes(part)
+        lacks |= set(full.rows_without_hash(part, {marks[k : k + 2] for k in range(0, len(marks), 2)}))
     assert lacks == {(MEMBER, k) for k in range(2, 201, 2)} | {(MEMBER, 99)}  # another version is another mark
     half.forget(MEMBER, 1)
-    assert all(half.marks(part) is not None for part in range(PARTS)) and (MEMBER, 1) not in half.marked
+    assert (
+        all(half.bucket_hashes(part) is not None for part in range(BUCKETS)) and (MEMBER, 1) not in half.short_hashes
+    )
 
 
 BODIES = ([3, b"", True], [[1], "text", True], [[1]], [[[]], b"odd", 1], [[-1, 10**9], b"", 0])
--- a/tests/fleet/test_table.py
+++ b/tests/fleet/test_table.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushweir.fleet.table import HEADING, MEMBER, PARTS, SEAT, Table, fitting, size
+from rushweir.fleet.table import BUCKETS, MEMBER, SLOT, VIEW_HEADER, Table, packed_size, paginate
 
 LOAD = 16
 ROWS = st.lists(
-    st.tuples(st.sampled_from([MEMBER, SEAT, LOAD]), st.integers(1, 6), st.integers(1, 5)).map(
+    st.tuples(st.sampled_from([MEMBER, SLOT, LOAD]), st.integers(1, 6), st.integers(1, 5)).map(
         lambda r: [*r, b"%d %d %d" % r]  # one writer: equal versions have equal data
     ),
     max_size=40,
@@ -17,7 +17,7 @@
 
 
 def table(most: int = 50) -> Table:
-    return Table({MEMBER: 20, SEAT: 20, HEADING: 20, LOAD: 20}, most, lambda origin: True)
+    return Table({MEMBER: 20, SLOT: 20, VIEW_HEADER: 20, LOAD: 20}, most, lambda origin: True)
 
 
 def held(t: Table) -> dict:
@@ -75,7 +75,7 @@
     for row in (None, 7, [], [1], [LOAD, -1, 1, b""], [LOAD, 1, 0, b""], [LOAD, 1, 1, "text"], [LOAD, 1.0, 1, b""],
                 [LOAD, 2**64, 1, b""], [LOAD, 1, 2**63, b""], ["x", 1, 1, b""]):  # fmt: skip
         assert not t.merge(row)
-    assert held(t) == held(table()) and t.digest() == bytes(4 * PARTS)
+    assert held(t) == held(table()) and t.digest() == bytes(4 * BUCKETS)
 
 
 def test_what_is_forgotten_leaves_no_trace():
@@ -83,7 +83,7 @@
     t.put(LOAD, 1, 1, b"x")
     t.put(MEMBER, 1, 1, b"y")
     t.forget_origin(1)
-    assert t.digest() == bytes(4 * PARTS) and t.take(200, 3) == [] and not any(t.parts)
+    assert t.digest() == bytes(4 * BUCKETS) and t.piggyback_rows(200, 3) == [] and not any(t.buckets)
 
 
 def test_news_are_told_so_often_and_objections_before_newcomers():
@@ -91,14 +91,14 @@
     for k in range(1, 30):
         t.put(MEMBER, k, 1, b"row")
     t.put(MEMBER, 7, 2, b"again")
-    assert t.take(12, 3) == [[MEMBER, 7, 2, b"again"]]
-    told = [r[1] for _ in range(60) for r in t.take(60, 3)]
+    assert t.piggyback_rows(12, 3) == [[MEMBER, 7, 2, b"again"]]
+    told = [r[1] for _ in range(60) for r in t.piggyback_rows(60, 3)]
     assert {told.count(k) for k in range(1, 30) if k != 7} == {3} and told.count(7) == 2
-    assert t.take(60, 3, (MEMBER, 9)) == [[MEMBER, 9, 1, b"row"]]
+    assert t.piggyback_rows(60, 3, (MEMBER, 9)) == [[MEMBER, 9, 1, b"row"]]
 
 
 def test_rows_are_portioned_by_bytes():
     rows = [[MEMBER, k, 1, b"x" * 30] for k in range(10)]
-    parts = fitting(rows, 100)
-    assert [r for p in parts for r in p] == rows and all(sum(map(size, p)) <= 100 for p in parts)
-    assert fitting([[1, b"x" * 300]], 100) == []
+    parts = paginate(rows, 100)
+    assert [r for p in parts for r in p] == rows and all(sum(map(packed_size, p)) <= 100 for p in parts)
+    assert paginate([[1, b"x" * 300]], 100) == []
--- a/tests/lab/scale/test_scene.py
+++ b/tests/lab/scale/test_scene.py
@@ -62,7 +62,7 @@
 
 def test_datagrams_are_told_apart_by_what_they_are_for():
     frames = f.Frames(5, b"k" * 16, 10)
-    kinds = {f.PROBE: "probe", f.ROWS: "table", f.JOIN: "join", f.ACCEPT: "chair", f.SEAT_ASK: "chair"}
+    kinds = {f.PROBE: "probe", f.ROWS: "table", f.JOIN: "join", f.ACCEPT: "chair", f.SLOT_REQUEST: "chair"}
     kinds[f.APP] = "budgets"
     for kind, name in kinds.items():
         assert kind_of(frames.pack(kind, 6, [1])) == name
