--- a/rushweir/fleet/__init__.py
+++ b/rushweir/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, under which number, and what its members tell each other. No I/O, no clock."""
+"""Fleet membership, numbered slots and the table that members replicate. No I/O, no clock."""
--- a/rushweir/fleet/commands.py
+++ b/rushweir/fleet/commands.py
@@ -1,4 +1,4 @@
-"""What a member asks of those who carry it out, and tells them. Plain records."""
+"""Commands that a member returns for its shell to carry out. Plain records."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class SendTo:
-    """One datagram."""
+    """Send one datagram."""
 
     address: Address
     data: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class SaveFile:
-    """Write this so that it outlives a crash, then say ``kept`` with the serial; of several the last is enough."""
+    """Persist ``data``, then call ``file_saved`` with ``serial``. Of several pending commands the last suffices."""
 
     serial: int
     data: bytes
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """For the log."""
+    """An event for the log."""
 
     level: str
     cause: str
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True)
 class SlotChanged:
-    """This process has another number now, -1: none."""
+    """This process has another slot now; -1: none."""
 
     slot: int
 
 
 @dataclass(slots=True)
 class ViewChanged:
-    """Another view holds here; who has which number is in ``fleet.view``."""
+    """The member holds another view; ``fleet.view`` has its slots."""
 
 
 Command = SendTo | SaveFile | LogEvent | SlotChanged | ViewChanged
--- a/rushweir/fleet/core.py
+++ b/rushweir/fleet/core.py
@@ -1,11 +1,12 @@
-"""One member of a fleet without I/O: datagrams and time in, orders out.
+"""One fleet member without I/O: takes datagrams and time, returns commands.
 
-It joins who is alive (members.py), what all know (table.py, exchange.py), who decides (chair.py) and who has which
-number (seating.py, views.py). Nothing here waits, reads a clock or opens anything. Equal calls give equal orders.
+It combines failure detection (members.py), the replicated table (table.py, exchange.py), the leader lease
+(leader_lease.py) and membership views (view_manager.py, views.py). Nothing here waits, reads a clock or opens
+anything. Equal calls give equal commands.
 
-How sure a member is of the view that it holds: the chair's answer to a probe says that the view is in force now; any
-other member's says how long ago it was surely in force. The receiver counts from when it *asked*, adds what the
-answer says, and so holds an upper bound of the age, whatever the network did. ``current`` and ``seat`` look at it.
+How a member bounds the age of its view: the leader's answer to a probe says that the view is in force now; any other
+member's answer says how long ago it surely was. The receiver counts from when it *sent* the probe and adds what the
+answer says, which is an upper bound whatever the network did. ``is_view_current`` and ``slot`` rely on it.
 """
 
 from __future__ import annotations
@@ -32,27 +33,25 @@
 from rushweir.fleet.view_manager import ViewManager, changed_slots, unpack_view
 from rushweir.fleet.views import LOST, SLOT_BYTES, View, unpack_slot
 
-MEMBER_BYTES, HEADING_BYTES = 96, 48
-PIGGYBACK_BYTES = f.MAX_BODY_BYTES - 44  # and in a probe or its answer
+MEMBER_BYTES, HEADER_BYTES = 96, 48
+PIGGYBACK_BYTES = f.MAX_BODY_BYTES - 44  # of rows in a probe or its answer
 SLOT_REQUEST_INTERVAL_MS, SLOT_RELEASE_INTERVAL_MS, MAX_SLOT_RELEASE_TRIES = 500.0, 100.0, 6
-MAX_PROBES_TRACKED = 256  # whose answers are waited for
-BROADCAST_BUDGET_S = 2.0  # of the budget may go for telling a view to all, beyond which it is left to gossip
-PEER_MESSAGE_COST = 0.25  # of a datagram of the quotas counts against what the fleet may send
-COMPARE_MESSAGES_PER_S = (
-    3 * 1000 / COMPARE_INTERVAL_MS
-)  # a comparison each REST_MS, of three datagrams: digest, versions, entries
+MAX_PROBES_TRACKED = 256  # probes whose answers are awaited
+BROADCAST_BUDGET_S = 2.0  # of the budget may be spent on sending a view to all; beyond it gossip spreads it
+PEER_MESSAGE_COST = 0.25  # what one quota message costs of the fleet's budget
+COMPARE_MESSAGES_PER_S = 3 * 1000 / COMPARE_INTERVAL_MS  # of each comparison: digest, versions, rows
 
 
 class Fleet:
-    """One member. Take the orders from ``orders`` after each call and carry them out in order."""
+    """One member. Take the commands from ``commands`` after each call and carry them out in order."""
 
     def __init__(
-        self, settings: FleetSettings, key: bytes, seed: int, now: float, kept: bytes | None = None,
-        bounds: dict[int, int] | None = None,
+        self, settings: FleetSettings, key: bytes, seed: int, now: float, stored_view: bytes | None = None,
+        max_bytes: dict[int, int] | None = None,
     ) -> None:  # fmt: skip
-        """``seed``: for the number of this process and all its chances, another at each start; ``kept``: what a
-        SaveFile order wrote last; ``bounds``: bytes of each kind of entry that users of the fleet write.
-        Raises StoredViewError."""
+        """``seed``: of all randomness, this process's id included; another at each start. ``stored_view``: what the
+        last SaveFile wrote. ``max_bytes``: of an entry, by the kinds that users of the fleet write. Raises
+        StoredViewError."""
         self.settings, self.now, self.rng = settings, now, random.Random(seed)
         self.me = self.rng.getrandbits(63) + 1
         self.frames = f.Frames(self.me, key, settings.max_entries)
@@ -60,12 +59,12 @@
         self.counts: Counter[str] = Counter()
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self.serial = 0
-        kinds = {MEMBER: MEMBER_BYTES, SLOT: SLOT_BYTES, VIEW_HEADER: HEADING_BYTES, **(bounds or {})}
+        kinds = {MEMBER: MEMBER_BYTES, SLOT: SLOT_BYTES, VIEW_HEADER: HEADER_BYTES, **(max_bytes or {})}
         self.table = Table(kinds, settings.max_entries, lambda origin: origin in self.members.known)
         self.members, self.exchange = Members(self), Exchange(self)
         self.view, self.confirming_seeds = View(), ()
-        self.view_confirmed_at = -inf  # the view that is held here was in force at this time or later
-        self.slot_confirmed_at = -inf  # and so was one in which this process has a seat
+        self.view_confirmed_at = -inf  # the view held here was in force then or later
+        self.slot_confirmed_at = -inf  # and so was one with a slot of this process
         self.assigned_slot = -1
         self.probes_sent_at: OrderedDict[tuple[int, int], float] = OrderedDict()
         self.message_budget, self.app_budget = (
@@ -75,17 +74,18 @@
         self.compare_budget = MessageBudget(COMPARE_MESSAGES_PER_S, now)
         self.leaving = self.left = self.is_silent = False
         self.release_tries = 0
-        self.refusal_reason = ""  # why the chair gave no seat
-        self.app_handlers: dict[int, Callable[[int, list], None]] = {}  # who takes messages of users, by their topic
+        self.refusal_reason = ""  # why the leader assigned no slot
+        self.app_handlers: dict[int, Callable[[int, list], None]] = {}  # handlers of users' messages, by topic
         self.lease_acceptor: LeaseAcceptor | None = None
         if settings.seed_index >= 0:
             self.lease_acceptor = LeaseAcceptor(now, settings.leader_lease_ms)
-            self.view_manager = ViewManager(self, unpack_view(kept) if kept else View())
+            self.view_manager = ViewManager(self, unpack_view(stored_view) if stored_view else View())
             self.leader_lease = LeaderLease(self, self.lease_acceptor)
 
     # --- time ------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
+        """Writes the own entry and starts all periodic work."""
         self.now = now
         self.members.write_own_entry()
         self.call_after(0.0, self.members.tick, now)
@@ -96,29 +96,32 @@
             self.call_after(0.0, self.view_manager.tick, None)
 
     def next_at(self) -> float | None:
+        """Returns when the next timer is due; None: there is none."""
         return self.timers[0][0] if self.timers else None
 
-    def call_after(self, after_ms: float, what: Callable[[Any], None], argument: Any) -> None:
+    def call_after(self, after_ms: float, callback: Callable[[Any], None], argument: Any) -> None:
+        """Calls ``callback`` with ``argument`` in ``after_ms`` milliseconds."""
         self.serial += 1
-        heappush(self.timers, (self.now + after_ms, self.serial, what, argument))
+        heappush(self.timers, (self.now + after_ms, self.serial, callback, argument))
 
     def advance(self, now: float) -> None:
-        """Let time pass."""
+        """Advances the time and runs the timers that are due."""
         self.now = now
         due = []
         while self.timers and self.timers[0][0] <= now:
             due.append(heappop(self.timers))
-        for _, _, what, argument in due:
-            what(argument)
+        for _, _, callback, argument in due:
+            callback(argument)
 
     # --- datagrams -------------------------------------------------------------------------------
 
     def datagram(self, now: float, data: bytes) -> None:
+        """Handles a received datagram."""
         self.now = now
-        told = None if self.is_silent else self.frames.unpack(data)
-        if told is None:
+        message = None if self.is_silent else self.frames.unpack(data)
+        if message is None:
             return
-        kind, sender, body = told
+        kind, sender, body = message
         handler = HANDLERS.get(kind)
         if handler is None:
             self.counts["unknown_kinds"] += 1
@@ -126,27 +129,31 @@
         try:
             handler(self, sender, body)
         except (ValueError, TypeError, IndexError, KeyError):
-            self.counts["bad_bodies"] += 1  # of a member with another version of the program, or a faulty one
+            self.counts["bad_bodies"] += 1  # from another version of the program, or a faulty one
             return
         self.members.on_datagram(sender)
-        m = self.members.known.get(sender)
-        if m is not None and m.state == DEAD and self.may_send():
+        member = self.members.known.get(sender)
+        if member is not None and member.state == DEAD and self.may_send():
             self.send(f.ROWS, sender, [[self.table.row((MEMBER, sender))]])  # so that it objects
 
     def send(self, kind: int, to: int, body: list) -> None:
-        m = self.members.known.get(to)
-        if m is not None:
-            self.send_to(m.address, kind, to, body)
+        """Sends a message to a known member."""
+        member = self.members.known.get(to)
+        if member is not None:
+            self.send_to(member.address, kind, to, body)
 
     def send_to(self, address: tuple[str, int], kind: int, to: int, body: list) -> None:
+        """Sends a message to an address."""
         self.message_budget.spend(self.now)
         self.counts["sent"] += 1
         self.commands.append(commands.SendTo(address, self.frames.pack(kind, to, body)))
 
     def may_send(self) -> bool:
-        """Whether one datagram of what can wait may go now; asked once for each. Probes, their answers and what the
-        chair needs always go, and where much is lost they use the budget up. What compares tables keeps a pace of
-        its own beside them: else who lacks one entry of a view does not learn it, and its number runs out."""
+        """Whether one datagram that can wait may be sent now; asked once for each.
+
+        Probes, their answers and what the leader needs are always sent, and use the budget up under heavy loss.
+        Comparisons of tables have a rate of their own beside them: otherwise a member that lacks one entry of a view
+        never learns it, and its slot expires."""
         if self.message_budget.allows(self.now):
             return True
         if not self.compare_budget.allows(self.now):
@@ -155,29 +162,30 @@
         return True
 
     def charge_peer_messages(self, count: int = 1) -> None:
-        """The quotas sent so many datagrams: theirs go first, and the fleet's waiting ones have the less."""
+        """Charges quota messages that were sent: they go first and leave the fleet less of its budget."""
         self.message_budget.spend(self.now, count * PEER_MESSAGE_COST)
 
     def send_app(self, topic: int, to: int, body: list) -> None:
-        """A message of a user of the fleet, out of a budget of their own: members that find each other must not wait
-        for it. It may be lost as any, and is where the budget is used up."""
-        m = self.members.known.get(to)
-        if m is None:
+        """Sends a message of a user of the fleet from a budget of its own, since joining members must not wait for
+        it. It may be lost like any other, and is dropped when the budget is used up."""
+        member = self.members.known.get(to)
+        if member is None:
             return
         if not self.app_budget.allows(self.now):
             self.counts["apps_held_back"] += 1
             return
         self.app_budget.spend(self.now)
         self.counts["apps_sent"] += 1
-        self.commands.append(commands.SendTo(m.address, self.frames.pack(f.APP, to, [topic, *body])))
+        self.commands.append(commands.SendTo(member.address, self.frames.pack(f.APP, to, [topic, *body])))
 
-    # --- the others ------------------------------------------------------------------------------
+    # --- other members ---------------------------------------------------------------------------
 
     def send_probe(self, kind: int, to: int, number: int) -> None:
+        """Sends a probe with a number of its sender's."""
         self.probes_sent_at[to, number] = self.now
         if len(self.probes_sent_at) > MAX_PROBES_TRACKED:
             self.probes_sent_at.popitem(last=False)
-        # With its own entry: who forgot this member could not answer it.
+        # With its own entry: a member that forgot this one could not answer it.
         own = self.table.row((MEMBER, self.me))
         self.send(
             kind,
@@ -185,41 +193,45 @@
             [number, *self.view_report(), [own, *self.piggyback_rows(to, PIGGYBACK_BYTES - packed_size(own))]],
         )
 
-    def piggyback_rows(self, to: int, room: int = PIGGYBACK_BYTES) -> list:
-        times = retransmit_limit(self.settings.slot_count)
-        m = self.members.known.get(to)
-        return self.table.piggyback_rows(room, times, (MEMBER, to) if m is not None and m.state == SUSPECT else None)
+    def piggyback_rows(self, to: int, max_bytes: int = PIGGYBACK_BYTES) -> list:
+        """Returns rows to piggyback on a message to a member; its own row comes first if it is suspected."""
+        limit = retransmit_limit(self.settings.slot_count)
+        member = self.members.known.get(to)
+        return self.table.piggyback_rows(
+            max_bytes, limit, (MEMBER, to) if member is not None and member.state == SUSPECT else None
+        )
 
     def view_report(self) -> list[int]:
-        """The view that holds here, and for how long it is not sure to be in force."""
+        """Returns the number of the view held here and the upper bound of its age; -1: unknown."""
         age = self.view_age()
         return [self.view.number, -1 if age == inf else ceil(age)]
 
     def view_age(self) -> float:
+        """Returns an upper bound of the time since the view held here was surely in force."""
         if self.is_leader():
             self.view_confirmed_at = self.now
         return self.now - self.view_confirmed_at
 
     def is_leader(self) -> bool:
-        """Whether the view that holds here is this process's own, and it may decide now."""
+        """Whether the view held here is this process's own and it holds the leader lease."""
         return (
             self.lease_acceptor is not None and self.leader_lease.is_held()
             and self.view_manager.state in ("open", "putting")
             and self.view.number > 0 and self.view_ballot == self.view_manager.ballot
         )  # fmt: skip
 
-    view_ballot = 0  # by which ballot of this process the view that holds was put
+    view_ballot = 0  # the ballot of this process under which the view held here was proposed
 
     def learn_view_age(self, sender: int, number: int, view: int, age: int) -> None:
-        """A probe was answered: what the answer says of the view held for a time that is counted from the probe."""
-        asked = self.probes_sent_at.pop((sender, number), None)
-        if asked is not None and age >= 0 and view == self.view.number:
-            self.view_confirmed_at = max(self.view_confirmed_at, asked - max_under_drift(age))
+        """A probe was answered: takes over the age of the view, counted from when the probe was sent."""
+        sent_at = self.probes_sent_at.pop((sender, number), None)
+        if sent_at is not None and age >= 0 and view == self.view.number:
+            self.view_confirmed_at = max(self.view_confirmed_at, sent_at - max_under_drift(age))
             self._update_slot()
 
     def merge(self, rows: Any) -> None:
-        """Entries that came with any message."""
-        heading = False
+        """Merges the rows of any message."""
+        view_changed = False
         for row in rows if isinstance(rows, list) else ():
             if not (isinstance(row, list) and len(row) == 4):
                 continue
@@ -230,70 +242,75 @@
                 self.exchange.has_new_rows = True
                 if kind == MEMBER:
                     self.members.apply_entry(origin)
-                heading |= kind in (SLOT, VIEW_HEADER)
-        if heading:
+                view_changed |= kind in (SLOT, VIEW_HEADER)
+        if view_changed:
             self._adopt_view()
 
-    def member_changed(self, new: Member, had: Member | None) -> None:
-        if had is None or (had.state >= DEAD) != (new.state >= DEAD):
+    def member_changed(self, new: Member, previous: Member | None) -> None:
+        """A member became known, died, left or came back."""
+        if previous is None or (previous.state >= DEAD) != (new.state >= DEAD):
             self.counts["member_changes"] += 1
             host, port = new.address
             self.log_event("info", f"member_{STATE_NAMES[new.state]}", address=f"{host}:{port}", zone=new.zone)
 
     def log_event(self, level: str, cause: str, **fields: Any) -> None:
+        """Emits a log event."""
         self.commands.append(commands.LogEvent(level, cause, fields))
 
     # --- entries of users ------------------------------------------------------------------------
 
     def publish(self, kind: int, data: bytes) -> bool:
-        """Write this process's own entry of a kind; whether it fits."""
-        had = self.table.get(kind, self.me)
-        return self.table.put(kind, self.me, (had[0] if had else 0) + 1, data)
+        """Writes this process's own entry of a kind; returns whether it fits."""
+        previous = self.table.get(kind, self.me)
+        return self.table.put(kind, self.me, (previous[0] if previous else 0) + 1, data)
 
     # --- views -----------------------------------------------------------------------------------
 
     def other_seeds(self) -> list[Member]:
+        """Returns the other seeds that are alive."""
         found = [self.members.alive_at(a) for a in self.settings.seeds if a != self.settings.address]
-        return [m for m in found if m is not None]
+        return [member for member in found if member is not None]
 
     def save_file(self, serial: int, data: bytes) -> None:
+        """Asks for data to be persisted; ``file_saved`` confirms it."""
         self.commands.append(commands.SaveFile(serial, data))
 
     def file_saved(self, now: float, serial: int) -> None:
-        """A SaveFile order was carried out."""
+        """A SaveFile command was carried out."""
         self.now = now
         self.view_manager.on_saved(serial)
 
     def publish_view(self, view: View, seeds: list[int]) -> None:
-        """This process, in the chair, made a view, and a majority of the seeds keeps it: tell everybody."""
-        for n in sorted(view.slots.keys() | self.view.slots.keys() | self.table.entries_of(SLOT).keys()):
-            data = view.slots[n].pack() if n in view.slots else b""
-            had = self.table.get(SLOT, n)
-            if (had is None and data) or (had is not None and had[1] != data):
-                self.table.put(SLOT, n, view.number, data)
-        bits = sum(1 << k for k in seeds)
+        """A majority of the seeds stores this leader's view: publishes it."""
+        for slot in sorted(view.slots.keys() | self.view.slots.keys() | self.table.entries_of(SLOT).keys()):
+            data = view.slots[slot].pack() if slot in view.slots else b""
+            previous = self.table.get(SLOT, slot)
+            if (previous is None and data) or (previous is not None and previous[1] != data):
+                self.table.put(SLOT, slot, view.number, data)
+        bits = sum(1 << index for index in seeds)
         self.table.put(VIEW_HEADER, 0, view.number, msgpack.packb([view.digest(), self.me, bits]))
-        # A small fleet hears of it at once; in a large one it goes from member to member.
+        # Sent to all members of a small fleet at once; in a large one gossip spreads it.
         rows = [
-            self.table.row(k) for k in ((VIEW_HEADER, 0), *((SLOT, n) for n, _ in changed_slots(self.view, view)))
+            self.table.row(key)
+            for key in ((VIEW_HEADER, 0), *((SLOT, slot) for slot, _ in changed_slots(self.view, view)))
         ]
-        portions = paginate(rows, ROWS_BYTES)
+        pages = paginate(rows, ROWS_BYTES)
         others = self.members.alive()
-        if len(portions) * len(others) <= self.settings.per_s * BROADCAST_BUDGET_S:
-            for m in others:
-                for portion in portions:
-                    self.send(f.ROWS, m.id, [portion])
+        if len(pages) * len(others) <= self.settings.per_s * BROADCAST_BUDGET_S:
+            for member in others:
+                for page in pages:
+                    self.send(f.ROWS, member.id, [page])
         self.view_ballot = self.view_manager.ballot
         self._adopt_view()
 
     def _adopt_view(self) -> None:
-        """Hold the view that the table tells of, once all of it is there."""
-        heading = self.table.get(VIEW_HEADER, 0)
-        if heading is None or heading[0] <= self.view.number:
+        """Holds the view that the table describes once it is complete."""
+        header = self.table.get(VIEW_HEADER, 0)
+        if header is None or header[0] <= self.view.number:
             return
-        digest, _, bits = msgpack.unpackb(heading[1])
-        found = {n: unpack_slot(data) for n, (_, data) in self.table.entries_of(SLOT).items()}
-        view = View(heading[0], {n: s for n, s in found.items() if s is not None})
+        digest, _, bits = msgpack.unpackb(header[1])
+        found = {slot: unpack_slot(data) for slot, (_, data) in self.table.entries_of(SLOT).items()}
+        view = View(header[0], {slot: entry for slot, entry in found.items() if entry is not None})
         if view.digest() != digest:
             return
         self.view, self.view_confirmed_at = view, -inf
@@ -305,30 +322,30 @@
         self._update_slot()
 
     def _update_slot(self) -> None:
-        """Note when a view in force surely had a seat of this process, and which."""
-        n = self.view.slot_of(self.me)
-        if n >= 0 and self.view.slots[n].state != LOST:
+        """Records when a view in force surely had a slot of this process, and which."""
+        slot = self.view.slot_of(self.me)
+        if slot >= 0 and self.view.slots[slot].state != LOST:
             self.slot_confirmed_at = max(self.slot_confirmed_at, self.view_confirmed_at)
-            if n != self.assigned_slot:
-                self.assigned_slot = n
+            if slot != self.assigned_slot:
+                self.assigned_slot = slot
                 self.refusal_reason = ""
-                self.commands.append(commands.SlotChanged(n))
-        elif self.assigned_slot >= 0 and (n < 0 or n != self.assigned_slot):
-            # Another has it, or it was given back.
+                self.commands.append(commands.SlotChanged(slot))
+        elif self.assigned_slot >= 0 and (slot < 0 or slot != self.assigned_slot):
+            # Another process has it, or it was given back.
             self.assigned_slot, self.slot_confirmed_at = -1, -inf
             self.commands.append(commands.SlotChanged(-1))
 
     def leader_id(self) -> int:
-        """Who made the newest view that this process knows of; 0: nobody."""
-        heading = self.table.get(VIEW_HEADER, 0)
-        return msgpack.unpackb(heading[1])[1] if heading is not None else 0
+        """Returns who made the newest view known here; 0: nobody."""
+        header = self.table.get(VIEW_HEADER, 0)
+        return msgpack.unpackb(header[1])[1] if header is not None else 0
 
     def is_view_current(self) -> bool:
-        """Whether the view that is held here may be acted on now: no other was in force for longer than that."""
+        """Whether the view held here may be acted on: no other can have been in force for longer than that."""
         return self.view.number > 0 and self.view_age() < min_under_drift(self.settings.view_ms)
 
     def slot(self) -> int:
-        """The number that is surely this process's own now, -1: none. Looked at in the turn that acts on it."""
+        """Returns the slot that is surely this process's own now, or -1. Called in the turn that acts on it."""
         if self.is_leader():
             self.view_age()
             self._update_slot()
@@ -340,25 +357,29 @@
         if self.leaving:
             self._release_slot()
             return
-        again = SLOT_REQUEST_INTERVAL_MS
+        interval_ms = SLOT_REQUEST_INTERVAL_MS
         if not self.view.has_active_slot(self.me):
-            s = self.settings
-            seats = (unpack_slot(data) for _, data in self.table.entries_of(SLOT).values())
-            if any(x is not None and x.id == self.me and x.state != LOST for x in seats):
-                again = 4 * SLOT_REQUEST_INTERVAL_MS  # it has one; the rest of that view is still on its way
+            settings = self.settings
+            slots = (unpack_slot(data) for _, data in self.table.entries_of(SLOT).values())
+            if any(slot is not None and slot.id == self.me and slot.state != LOST for slot in slots):
+                interval_ms = 4 * SLOT_REQUEST_INTERVAL_MS  # it has one; the rest of that view is on its way
             if self.lease_acceptor is not None and self.leader_lease.is_held():
-                self.view_manager.request_slot(self.me, s.address, s.wanted_slot)
+                self.view_manager.request_slot(self.me, settings.address, settings.wanted_slot)
             else:
-                known = self.members.known.get(self.leader_id())
-                ask = [known] if known is not None and known.state <= SUSPECT else self.other_seeds()
-                for m in self.rng.sample(ask, min(1, len(ask))):
-                    self.send(f.SLOT_REQUEST, m.id, [*s.address, s.wanted_slot, [self.table.row((MEMBER, self.me))]])
-        self.call_after(again, self._maintain_slot, None)
-
-    # --- the end ---------------------------------------------------------------------------------
+                leader = self.members.known.get(self.leader_id())
+                receivers = [leader] if leader is not None and leader.state <= SUSPECT else self.other_seeds()
+                for member in self.rng.sample(receivers, min(1, len(receivers))):
+                    self.send(
+                        f.SLOT_REQUEST,
+                        member.id,
+                        [*settings.address, settings.wanted_slot, [self.table.row((MEMBER, self.me))]],
+                    )
+        self.call_after(interval_ms, self._maintain_slot, None)
+
+    # --- leaving ---------------------------------------------------------------------------------
 
     def leave(self, now: float) -> None:
-        """Give the number back, tell the others, and be done: ``left`` says when. Nothing may be done on the number
+        """Gives the slot back and tells the others; ``left`` says when that is done. Nothing may be done on the slot
         after this call."""
         self.now = now
         if self.leaving:
@@ -369,7 +390,7 @@
         self._release_slot()
 
     def stop_sending(self, now: float) -> None:
-        """Not a word more: a successor at the same address goes on. The number stays taken, by it."""
+        """Goes quiet: a successor at the same address continues and takes over the slot."""
         self.now = now
         if self.lease_acceptor is not None:
             self.leader_lease.release()
@@ -389,19 +410,20 @@
             if self.view.slot_of(self.me) < 0:
                 self._finish_leaving()
                 return
-        elif (known := self.members.known.get(self.leader_id())) is not None:
-            self.send(f.SLOT_RELEASE, known.id, [])
+        elif (leader := self.members.known.get(self.leader_id())) is not None:
+            self.send(f.SLOT_RELEASE, leader.id, [])
         self.call_after(SLOT_RELEASE_INTERVAL_MS, lambda _: self._release_slot(), None)
 
     def _finish_leaving(self) -> None:
-        """The last words: to some others, so that nobody has to find out."""
+        """Tells some members that this one has left, so that nobody has to detect it."""
         if self.lease_acceptor is not None:
             self.leader_lease.release()
         others = self.members.alive()
-        for m in self.rng.sample(others, min(3, len(others))):
-            self.send(f.ROWS, m.id, [[self.table.row((MEMBER, self.me))]])
+        for member in self.rng.sample(others, min(3, len(others))):
+            self.send(f.ROWS, member.id, [[self.table.row((MEMBER, self.me))]])
         self.left = True
 
     def slot_released(self) -> None:
+        """The leader confirms that the slot was given back."""
         if self.leaving and not self.left:
             self._finish_leaving()
--- a/rushweir/fleet/drift.py
+++ b/rushweir/fleet/drift.py
@@ -1,19 +1,18 @@
-"""What one process may conclude from its own clock about another's.
+"""Bounds on what one process may conclude from its own clock about another's.
 
-Each member counts with a monotonic clock of its own. All that is assumed of two of them is that in the same time
-neither counts more than ``DRIFT`` more or less than true time passed; they share no zero.
+Each member counts with its own monotonic clock. The only assumption about two of them is that over the same time
+neither deviates from true time by more than ``MAX_CLOCK_DRIFT``; they share no epoch.
 """
 
-MAX_CLOCK_DRIFT = (
-    0.01  # of the time counted; the clocks of two machines differ by 0.0005 at most when they are in order
-)
+# As a share of the elapsed time. The clocks of two healthy machines differ by 0.0005 at most.
+MAX_CLOCK_DRIFT = 0.01
 
 
 def min_under_drift(ms: float) -> float:
-    """What may be counted here of a right that another gave for so long: it is over here first."""
+    """For how long, by the local clock, a right granted elsewhere for ``ms`` may be used: it ends here first."""
     return ms * (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)
 
 
 def max_under_drift(ms: float) -> float:
-    """What has to be counted here until a right given to another for so long is surely over there."""
+    """How long to wait, by the local clock, until a right granted to another for ``ms`` has surely ended there."""
     return ms * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
--- a/rushweir/fleet/frame.py
+++ b/rushweir/fleet/frame.py
@@ -1,13 +1,14 @@
-"""Datagrams between members: authenticated, for one process from one process, taken once. No I/O.
+"""Datagrams between members: authenticated, addressed to one process, accepted once. No I/O.
 
     version 1 | kind 1 | sender 8 | receiver 8 | serial 4 | body (msgpack, one array) | tag 16
 
-Sender and receiver are the random numbers that processes draw when they start, so what was recorded for one process
-is worthless for its successor. The serial grows with each datagram of its sender; a receiver takes each once and none
-that lags by more than ``WINDOW`` (as in RFC 6479), so that no clocks have to agree. The tag is a keyed BLAKE2s over
-all before it. Only a JOIN may come without a receiver: it is answered and changes nothing else.
+Sender and receiver are random ids that processes draw when they start, so a datagram recorded for one process is
+useless against its successor. The serial increases with each datagram of a sender; a receiver accepts each serial
+once and none that lags by ``REPLAY_WINDOW`` or more (as in RFC 6479), so no synchronized clocks are needed. The tag
+is a keyed BLAKE2s over everything before it. Only a JOIN may come without a receiver: it is answered and has no other
+effect.
 
-The first byte tells these from the messages of the quotas (peers/datagram.py), which share the socket.
+The first byte distinguishes these datagrams from quota messages (peers/datagram.py), which share the socket.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 HEADER = Struct(">BBQQI")
 TAG_BYTES = 16
 MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES
-REPLAY_WINDOW = 1024  # serials of one sender that may overtake each other: more than a minute of its messages
+REPLAY_WINDOW = 1024  # serials of one sender that may arrive out of order: more than a minute of its messages
 ANY_RECEIVER = 0  # as receiver of a JOIN
 
 JOIN, JOIN_REPLY, PROBE, PROBE_ACK, INDIRECT_PROBE, INDIRECT_ACK = 1, 2, 3, 4, 5, 6
@@ -37,20 +38,22 @@
 
 
 class Frames:
-    """One process's side. ``counts`` tells what was dropped, and why."""
+    """Packs and unpacks the datagrams of one process. ``counts`` has what was dropped, by reason."""
 
     def __init__(self, me: int, key: bytes, most_senders: int) -> None:
-        """``most_senders``: windows remembered; of more senders, those that were silent longest are forgotten."""
+        """``max_senders``: how many replay windows are kept; the least recently active sender is evicted. Raises
+        ValueError for a key shorter than 16 bytes."""
         if len(key) < 16:
             raise ValueError("peer key: 16 bytes at least")
         self.me, self.max_senders = me, most_senders
         self.key = blake2s(key).digest()
         self.serial = 0
-        self.windows: OrderedDict[int, tuple[int, int]] = OrderedDict()  # highest serial, and a bit for each below
+        self.windows: OrderedDict[int, tuple[int, int]] = OrderedDict()  # highest serial, and a bitmap of those below
         self.counts: Counter[str] = Counter()
 
     def pack(self, kind: int, to: int, body: Any) -> bytes:
-        """Raises ValueError where the body does not fit: those that write bodies measure them."""
+        """Returns a datagram. Raises ValueError if the body is too long; callers measure the bodies that they
+        build."""
         self.serial += 1
         packed = msgpack.packb(body)
         if len(packed) > MAX_BODY_BYTES:
@@ -60,14 +63,14 @@
         return message + blake2s(message, key=self.key, digest_size=TAG_BYTES).digest()
 
     def unpack(self, data: bytes) -> tuple[int, int, list] | None:
-        """Kind, sender and body; None where the datagram is not to be believed."""
+        """Returns kind, sender and body; None if the datagram is malformed, unauthenticated or replayed."""
         if not HEADER.size + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return self._drop("length")
         message, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
         version, kind, sender, receiver, serial = HEADER.unpack_from(message)
         if version != VERSION:
             return self._drop("version")
-        # The tag is judged before anything that a stranger could learn from or make this side remember.
+        # The tag is verified before anything that an attacker could learn from or make this side store.
         if not compare_digest(tag, blake2s(message, key=self.key, digest_size=TAG_BYTES).digest()):
             return self._drop("stranger")
         if sender in (self.me, ANY_RECEIVER):
@@ -102,7 +105,7 @@
         return True
 
     def renew(self, me: int) -> None:
-        """Go on under another number, as a process that starts anew would."""
+        """Continues under another id, as a newly started process would."""
         self.me, self.serial = me, 0
         self.windows.clear()
 
--- a/rushweir/fleet/members.py
+++ b/rushweir/fleet/members.py
@@ -1,19 +1,20 @@
-"""Who is alive: SWIM with suspicion (Das, Gupta, Motivala 2002), and Lifeguard's local health (Dadgar et al. 2018).
+"""Failure detection: SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's local health (Dadgar et al.
+2018).
 
-Each period one other member is probed, in a shuffled round, so that each is probed within two rounds. Who does not
-answer is asked for through others; who still does not answer is suspected, is told so, and may object with a higher
-incarnation. Only who objects to nothing for ``suspicion_ms`` counts as dead, and may come back from that too: a
-member cut off is not a member ended. What states follow on what:
+In each period one other member is probed, in a shuffled round, so that each is probed within two rounds. A member
+that does not answer is probed indirectly through others; if it still does not answer it is suspected, is told so, and
+may object with a higher incarnation. Only a member that does not object for ``suspicion_ms`` counts as dead, and it
+may come back even then: a member that is cut off has not ended. State transitions:
 
     from      event      to
     ALIVE     SILENT     SUSPECT
     SUSPECT   OVERDUE    DEAD
     SUSPECT   OBJECTED   ALIVE      (a higher incarnation, which only the member itself writes)
     DEAD      OBJECTED   ALIVE
-    any       GOODBYE    LEFT       (final: the process is over)
+    any       GOODBYE    LEFT       (final: the process has ended)
 
-A member that notices that it was itself away, paused or starved, judges nobody by what it missed and gives the others
-more time (``health``). No I/O, no clock.
+A member that notices that it was itself paused or starved suspects nobody by what it missed meanwhile and gives the
+others more time (``health``). No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -50,22 +51,18 @@
     (SUSPECT, GOODBYE): LEFT,
     (DEAD, GOODBYE): LEFT,
 }
-MAX_HEALTH = 8  # times the usual patience, at worst
-STALE_VIEW_SHARE, STALE_VIEW_MS = (
-    1 / 4,
-    1_200.0,
-)  # of a view's term, and at most: word that it is in force is stale then
-LEADER_PROBES_PER_PERIOD = 6  # members that ask the chair in each period, at most
-RECENT_SENDERS, RECENT_MS = (
-    16,
-    1_000.0,
-)  # members that were heard last are remembered, and may be relied on for so long
-CONFIRMED_FAILURES = 2  # failed probes in a row that helpers confirm: then the fault is not here
-MAX_ZONE_BYTES = 32  # bytes of a zone's name as it is told
+MAX_HEALTH = 8  # upper bound of the local health score; higher is worse
+# After this share of ``view_ms``, or this time if less, the confirmation that a view is in force counts as stale.
+STALE_VIEW_SHARE, STALE_VIEW_MS = 1 / 4, 1_200.0
+LEADER_PROBES_PER_PERIOD = 6  # of all members together, at most
+# How many recent senders are remembered, and how long a sender counts as recently active.
+RECENT_SENDERS, RECENT_MS = 16, 1_000.0
+CONFIRMED_FAILURES = 2  # in a row: then this process is considered healthy
+MAX_ZONE_BYTES = 32  # of a zone's name in an entry
 
 
 def version_of(incarnation: int, state: int) -> int:
-    """So that of two entries the later holds: a higher incarnation, and in one incarnation the worse state."""
+    """Returns an entry's version: a higher incarnation wins and, within one incarnation, the worse state."""
     return incarnation * 4 + state
 
 
@@ -81,11 +78,13 @@
 
 
 def pack(address: Address, zone: str) -> bytes:
-    short = zone.encode()[:MAX_ZONE_BYTES].decode(errors="ignore")
-    return msgpack.packb([address[0], address[1], short])
+    """Returns the data of a member's entry."""
+    zone_name = zone.encode()[:MAX_ZONE_BYTES].decode(errors="ignore")
+    return msgpack.packb([address[0], address[1], zone_name])
 
 
 def unpack(id_: int, version: int, data: bytes) -> Member | None:
+    """Returns the member that an entry describes; None if it is malformed."""
     try:
         host, port, zone = msgpack.unpackb(data)
     except (ValueError, TypeError, msgpack.UnpackException):
@@ -102,47 +101,47 @@
         self.fleet, self.rng = fleet, fleet.rng
         self.incarnation = 1
         self.known: dict[int, Member] = {}
-        self.probe_order: list[int] = []  # who is probed next, last first
-        self.pending_probe: tuple[int, int] | None = None  # number and target of the probe that is out
+        self.probe_order: list[int] = []  # ids that are probed next, last first
+        self.pending_probe: tuple[int, int] | None = None  # number and target
         self.serial = 0
-        self.indirect_probes: dict[
-            int, tuple[int, int, int]
-        ] = {}  # own probe for another: who asked, its number, the target
-        self.health = 0  # how far this process mistrusts itself
-        self.recent_senders: OrderedDict[int, float] = OrderedDict()  # who was heard, and when: latest last
-        self.missing_helpers: set[int] | None = (
-            None  # helpers that were lately heard and owe an answer; None: none was asked
-        )
-        self.confirmed_failures = 0  # failed probes in a row in which no helper was missing
+        self.indirect_probes: dict[int, tuple[int, int, int]] = {}  # by own probe: the asker, its probe, the target
+        self.health = 0  # local health score; 0: healthy
+        self.recent_senders: OrderedDict[int, float] = OrderedDict()  # times by id, latest last
+        # Recently active helpers that have not answered yet; None: none was asked.
+        self.missing_helpers: set[int] | None = None
+        self.confirmed_failures = 0  # in a row, of which no helper was missing
         self.next_period_at = 0.0
 
-    # --- what is known ---------------------------------------------------------------------------
+    # --- knowledge -------------------------------------------------------------------------------
 
     def alive(self) -> list[Member]:
-        """Those that may be spoken to, without this one."""
-        return [m for m in self.known.values() if m.state <= SUSPECT and m.id != self.fleet.me]
+        """Returns the other members that are alive or suspected."""
+        return [member for member in self.known.values() if member.state <= SUSPECT and member.id != self.fleet.me]
 
     def count(self) -> int:
-        return 1 + sum(m.state <= SUSPECT for m in self.known.values() if m.id != self.fleet.me)
+        """Returns how many members are alive or suspected, including this one."""
+        return 1 + sum(member.state <= SUSPECT for member in self.known.values() if member.id != self.fleet.me)
 
     def alive_at(self, address: Address) -> Member | None:
-        """The member that is alive at an address."""
-        return next((m for m in self.known.values() if m.address == address and m.state <= SUSPECT), None)
+        """Returns the member that is alive at an address, or None."""
+        return next(
+            (member for member in self.known.values() if member.address == address and member.state <= SUSPECT), None
+        )
 
     def write_own_entry(self, state: int = ALIVE) -> None:
-        """This process's own entry."""
-        s, version = self.fleet.settings, version_of(self.incarnation, state)
-        self.fleet.table.put(MEMBER, self.fleet.me, version, pack(s.address, s.zone))
-        self.known[self.fleet.me] = Member(self.fleet.me, state, self.incarnation, s.address, s.zone)
+        """Writes this process's own entry."""
+        settings, version = self.fleet.settings, version_of(self.incarnation, state)
+        self.fleet.table.put(MEMBER, self.fleet.me, version, pack(settings.address, settings.zone))
+        self.known[self.fleet.me] = Member(self.fleet.me, state, self.incarnation, settings.address, settings.zone)
 
     def should_merge(self, row: list) -> bool:
-        """An entry of a member came; whether it is to be merged."""
+        """Whether a received row of a member is to be merged. Objects if the row suspects this process."""
         _, origin, version, data = row
         if type(version) is not int or type(origin) is not int or not isinstance(data, bytes):
             return True  # the table refuses and counts it
-        had, new = self.known.get(origin), unpack(origin, version, data)
-        if new is None or (had is None and new.state >= DEAD):
-            return False  # late news of one that ended and was forgotten
+        previous, new = self.known.get(origin), unpack(origin, version, data)
+        if new is None or (previous is None and new.state >= DEAD):
+            return False  # a late row of a member that ended and was forgotten
         if origin == self.fleet.me:
             if new.incarnation >= self.incarnation and new.state != ALIVE and not self.fleet.leaving:
                 self.incarnation = new.incarnation + 1
@@ -150,7 +149,7 @@
                 self.fleet.counts["objected"] += 1
                 self.write_own_entry()
             return False
-        return had is None or version > version_of(had.incarnation, had.state)
+        return previous is None or version > version_of(previous.incarnation, previous.state)
 
     def apply_entry(self, origin: int) -> None:
         """The table has a new entry of a member."""
@@ -158,50 +157,51 @@
         new = unpack(origin, *entry) if entry is not None else None
         if new is None:
             return
-        had, self.known[origin] = self.known.get(origin), new
-        if new.state == SUSPECT and (had is None or had.state < SUSPECT):
+        previous, self.known[origin] = self.known.get(origin), new
+        if new.state == SUSPECT and (previous is None or previous.state < SUSPECT):
             patience = suspicion_ms(self.fleet.settings.slot_count) * (1 + self.health / 4)
             self.fleet.call_after(patience, self._on_suspicion_timeout, (origin, entry[0]))
-        elif new.state >= DEAD and (had is None or had.state < DEAD):
+        elif new.state >= DEAD and (previous is None or previous.state < DEAD):
             self.fleet.counts["ended_members"] += 1
             self.fleet.call_after(FORGET_AFTER_MS, self._forget, origin)
-        if had is None or had.state != new.state:
-            self.fleet.member_changed(new, had)
+        if previous is None or previous.state != new.state:
+            self.fleet.member_changed(new, previous)
 
-    def _change_state(self, id_: int, event: str) -> None:
-        m = self.known.get(id_)
-        state = TRANSITIONS.get((m.state, event)) if m is not None else None
+    def _change_state(self, member_id: int, event: str) -> None:
+        member = self.known.get(member_id)
+        state = TRANSITIONS.get((member.state, event)) if member is not None else None
         if state is not None and self.fleet.table.put(
-            MEMBER, id_, version_of(m.incarnation, state), pack(m.address, m.zone)
+            MEMBER, member_id, version_of(member.incarnation, state), pack(member.address, member.zone)
         ):
             self.fleet.counts[event] += 1
-            self.apply_entry(id_)
+            self.apply_entry(member_id)
 
-    def _on_suspicion_timeout(self, what: tuple[int, int]) -> None:
-        id_, version = what
-        m = self.known.get(id_)
-        if m is not None and version_of(m.incarnation, m.state) == version:
-            self._change_state(id_, OVERDUE)
+    def _on_suspicion_timeout(self, entry: tuple[int, int]) -> None:
+        member_id, version = entry
+        member = self.known.get(member_id)
+        if member is not None and version_of(member.incarnation, member.state) == version:
+            self._change_state(member_id, OVERDUE)
 
-    def _forget(self, id_: int) -> None:
-        m = self.known.get(id_)
-        if m is not None and m.state >= DEAD:
-            del self.known[id_]
-            self.fleet.table.forget_origin(id_)
+    def _forget(self, member_id: int) -> None:
+        member = self.known.get(member_id)
+        if member is not None and member.state >= DEAD:
+            del self.known[member_id]
+            self.fleet.table.forget_origin(member_id)
 
     def leave(self) -> None:
+        """Writes that this process has left."""
         self.write_own_entry(LEFT)
 
     # --- probes ----------------------------------------------------------------------------------
 
-    def tick(self, planned: float) -> None:
-        """A period is over, and another begins."""
+    def tick(self, planned_at: float) -> None:
+        """Ends a probe period and begins the next one."""
         now = self.fleet.now
-        late = now - planned
-        if late > PROBE_PERIOD_MS:
-            # This process was away. That nobody answered it proves nothing about anybody.
+        delay_ms = now - planned_at
+        if delay_ms > PROBE_PERIOD_MS:
+            # This process was paused. That nobody answered it proves nothing about the others.
             self.fleet.counts["away"] += 1
-            self.health = min(MAX_HEALTH, self.health + 1 + int(late / (4 * PROBE_PERIOD_MS)))
+            self.health = min(MAX_HEALTH, self.health + 1 + int(delay_ms / (4 * PROBE_PERIOD_MS)))
             self.pending_probe = None
         if self.pending_probe is not None:
             self._update_health()
@@ -220,66 +220,68 @@
         self.fleet.call_after(self.next_period_at - now, self.tick, self.next_period_at)
 
     def _probe_leader(self) -> None:
-        """Word that the view is in force comes with any answer, but from hand to hand. Who has none for a while asks
-        the chair itself, in a large fleet by lot: together they ask as often as ``CHAIR_ASKED`` members would. Who
-        heard of a newer view than it holds learns nothing from that answer: it asks for what it lacks instead."""
-        fleet, chair = self.fleet, self.fleet.leader_id()
+        """Asks the leader whether the view is in force, if that was not confirmed for a while.
+
+        Any answer confirms it, but at second hand. In a large fleet members ask at random: together as often as
+        ``LEADER_PROBES_PER_PERIOD`` members would. A member that knows of a newer view than it holds learns nothing
+        from that answer and asks for the missing view instead."""
+        fleet, leader = self.fleet, self.fleet.leader_id()
         if fleet.view_age() <= min(STALE_VIEW_MS, fleet.settings.view_ms * STALE_VIEW_SHARE):
             return
-        known = self.known.get(chair)
+        leader_member = self.known.get(leader)
         if self.rng.random() * self.count() >= LEADER_PROBES_PER_PERIOD:
             return
         if (
             not fleet.exchange.request_newer_view()
-            and chair != fleet.me
-            and known is not None
-            and known.state <= SUSPECT
+            and leader != fleet.me
+            and leader_member is not None
+            and leader_member.state <= SUSPECT
         ):
             self.serial += 1
-            fleet.send_probe(f.PROBE, chair, self.serial)
+            fleet.send_probe(f.PROBE, leader, self.serial)
 
     def _next_target(self) -> int | None:
         while self.probe_order:
-            id_ = self.probe_order.pop()
-            m = self.known.get(id_)
-            if m is not None and m.state <= SUSPECT and id_ != self.fleet.me:
-                return id_
-        self.probe_order = [m.id for m in self.alive()]
+            member_id = self.probe_order.pop()
+            member = self.known.get(member_id)
+            if member is not None and member.state <= SUSPECT and member_id != self.fleet.me:
+                return member_id
+        self.probe_order = [member.id for member in self.alive()]
         self.rng.shuffle(self.probe_order)
         return self.probe_order.pop() if self.probe_order else None
 
     def _update_health(self) -> None:
-        """A probe failed: is the fault here? Lifeguard (3.1) goes by the answers of helpers, not by the target's:
-        where most of a fleet is gone nearly each probe fails, and who probes is well. It is where all helpers that
-        were lately heard answered, twice in a row: in noise a single time is often luck. Where none of three did,
-        rather this process is deaf than they."""
+        """A probe failed: is the fault here? Lifeguard (3.1) judges by the answers of helpers, not by the target's:
+        where most of a fleet is gone nearly each probe fails although the prober is healthy. It is healthy if all
+        helpers that were recently active answered, twice in a row, since under loss a single time is often luck. If
+        none of three answered, this process is more likely at fault than they are."""
         if self.missing_helpers is not None and not self.missing_helpers:
             self.confirmed_failures += 1
         else:
             self.confirmed_failures = 0
         if self.confirmed_failures >= CONFIRMED_FAILURES:
-            self.health = max(0, self.health - 2)  # two round trips at least went well
+            self.health = max(0, self.health - 2)  # at least two round trips succeeded
         else:
             missing = len(self.missing_helpers) if self.missing_helpers is not None else 0
             self.health = min(MAX_HEALTH, self.health + (2 if missing == INDIRECT_PROBE_COUNT else 1))
 
     def _probe_indirectly(self, probe: tuple[int, int]) -> None:
-        """Helpers are first of all such as were heard lately: who is gone itself helps nobody, and only of those is
-        the lack of an answer a sign."""
+        """Asks helpers to probe the target. Members that were active recently come first: a member that is gone
+        cannot help, and only from an active one is a missing answer a sign."""
         if self.pending_probe != probe:
             return
-        others = [m.id for m in self.alive() if m.id != probe[1] and m.state == ALIVE]
+        others = [member.id for member in self.alive() if member.id != probe[1] and member.state == ALIVE]
         self.rng.shuffle(others)
-        sure = {id_ for id_, at in self.recent_senders.items() if self.fleet.now - at <= RECENT_MS}
-        helpers = sorted(others, key=lambda id_: id_ not in sure)[:INDIRECT_PROBE_COUNT]
-        self.missing_helpers = sure.intersection(helpers) or None
+        recent = {member_id for member_id, at in self.recent_senders.items() if self.fleet.now - at <= RECENT_MS}
+        helpers = sorted(others, key=lambda member_id: member_id not in recent)[:INDIRECT_PROBE_COUNT]
+        self.missing_helpers = recent.intersection(helpers) or None
         for helper in helpers:
             self.fleet.send(f.INDIRECT_PROBE, helper, [probe[0], probe[1]])
 
     def on_indirect_probe(self, sender: int, number: int, target: int) -> None:
-        """Another could not reach a member, and asks whether this one can."""
-        m = self.known.get(target)
-        if m is None or m.state > SUSPECT or len(self.indirect_probes) >= 64:
+        """Another member could not reach the target and asks whether this one can."""
+        member = self.known.get(target)
+        if member is None or member.state > SUSPECT or len(self.indirect_probes) >= 64:
             return
         self.serial += 1
         self.indirect_probes[self.serial] = (sender, number, target)
@@ -287,26 +289,27 @@
         self.fleet.call_after(PROBE_TIMEOUT_MS, self._send_nack, self.serial)
 
     def _send_nack(self, number: int) -> None:
-        """The target does not answer this member either: who asked may trust itself."""
-        if (asked := self.indirect_probes.get(number)) is not None:
-            self.fleet.send(f.INDIRECT_NACK, asked[0], [asked[1], asked[2]])
+        """The target does not answer this member either, so the asker may consider itself healthy."""
+        if (request := self.indirect_probes.get(number)) is not None:
+            self.fleet.send(f.INDIRECT_NACK, request[0], [request[1], request[2]])
 
     def on_datagram(self, sender: int) -> None:
-        """Any datagram of a member came."""
+        """A datagram of any kind came from a member."""
         self.recent_senders[sender] = self.fleet.now
         self.recent_senders.move_to_end(sender)
         if len(self.recent_senders) > RECENT_SENDERS:
             self.recent_senders.popitem(last=False)
 
     def on_ack(self, sender: int, number: int) -> None:
-        """A probe of this member's was answered."""
+        """A probe of this member was answered."""
         if self.pending_probe == (number, sender):
             self.pending_probe = None
             self.health = max(0, self.health - 1)
-        elif (asked := self.indirect_probes.pop(number, None)) is not None and asked[2] == sender:
-            self.fleet.send(f.INDIRECT_ACK, asked[0], [asked[1], sender])
+        elif (request := self.indirect_probes.pop(number, None)) is not None and request[2] == sender:
+            self.fleet.send(f.INDIRECT_ACK, request[0], [request[1], sender])
 
     def on_indirect_ack(self, number: int, target: int) -> None:
+        """A helper reached the target of the pending probe."""
         if self.pending_probe == (number, target):
             self.pending_probe = None
 
--- a/rushweir/fleet/status.py
+++ b/rushweir/fleet/status.py
@@ -1,4 +1,4 @@
-"""How one member sees its fleet, for operators: plain rows. No I/O."""
+"""A member's view of its fleet for operators, as plain rows. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def status(fleet: Fleet) -> dict[str, Any]:
-    """How this member sees the fleet."""
+    """Returns how this member sees the fleet; the keys are part of the operators' interface."""
     age = fleet.view_age()
     return {
         "id": f"{fleet.me:016x}", "number": fleet.slot(), "view": fleet.view.number,
--- a/rushweir/fleet/view_manager.py
+++ b/rushweir/fleet/view_manager.py
@@ -1,17 +1,17 @@
-"""How views come about: the seed in the chair proposes one; once a majority of the seeds keeps it, it is in force.
+"""How views are agreed on: the leader proposes one; once a majority of the seeds has stored it, it is in force.
 
-A seed keeps the newest view that it voted for, and tells its number with each promise. So whoever takes the chair
-next hears of every view that was ever in force, fetches the newest, and opens with one of its own. What a chair does:
+A seed stores the newest view that it accepted and names its number in each promise. So the next leader learns of
+every view that was ever in force, fetches the newest and opens with a view of its own. States of the leader:
 
-    from       event                                 to
-    CLOSED     elected, and its own view is newest    PUTTING    its opening view
+    from       event                                  to
+    CLOSED     elected, and its own view is newest    PROPOSING    its opening view
     CLOSED     elected, another seed's is newer       FETCHING
-    FETCHING   all pages came                         PUTTING
-    PUTTING    a majority keeps the view              OPEN       now it is in force, and told to all
-    OPEN       somebody joins, leaves, falls silent   PUTTING
-    any        the lease is over                      CLOSED
+    FETCHING   all pages came                         PROPOSING
+    PROPOSING  a majority has stored the view         OPEN         it is in force, and published
+    OPEN       a member joins, leaves, falls silent   PROPOSING
+    any        the lease expired                      CLOSED
 
-A view that is put is repeated until it is kept or the lease is over. No I/O, no clock.
+A proposal is repeated until it is stored or the lease expires. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -31,34 +31,35 @@
     from rushweir.fleet.core import Fleet
 
 CLOSED, FETCHING, PROPOSING, OPEN = "closed", "fetching", "putting", "open"
-STEP_MS, RESEND_MS = 100.0, 300.0  # changes of so long make one view; what was not answered is sent again
-MAX_CHANGES_PER_VIEW = 16  # of one view
-PAGE_BYTES = 150  # bytes of seats in a datagram
+STEP_MS = 100.0  # changes within this time make one view
+RESEND_MS = 300.0
+MAX_CHANGES_PER_VIEW = 16
+PAGE_BYTES = 150  # of slots in a datagram
 MAX_PAGES = 2048
-MAX_PUSHED_DATAGRAMS = (
-    4  # datagrams with a view for who asked for a seat: all of a small one; of a large one the rest is compared
-)
+# Sent to a member that asked for a slot: the whole of a small view; the rest of a large one comes by anti-entropy.
+MAX_PUSHED_DATAGRAMS = 4
 FORMAT = 1
 
 
 class StoredViewError(ValueError):
-    """A file of a seed that can't be believed. Without what it voted for it must not vote."""
+    """A seed's stored view is unreadable. Without knowing what it accepted the seed must not vote."""
 
 
 def pack_view(view: View) -> bytes:
+    """Returns a view as it is stored."""
     return msgpack.packb([FORMAT, view.number, [[n, s.pack()] for n, s in sorted(view.slots.items())]])
 
 
 def unpack_view(data: bytes) -> View:
-    """Raises StoredViewError."""
+    """Returns a stored view. Raises StoredViewError."""
     try:
-        form, number, rows = msgpack.unpackb(data)
-        seats = {n: unpack_slot(d) for n, d in rows}
+        format_, number, rows = msgpack.unpackb(data)
+        slots = {n: unpack_slot(d) for n, d in rows}
     except (ValueError, TypeError, msgpack.UnpackException) as problem:
-        raise StoredViewError(f"not a kept view: {problem}") from None
-    if form != FORMAT or type(number) is not int or None in seats.values():
-        raise StoredViewError("not a kept view of this form")
-    return View(number, seats)
+        raise StoredViewError(f"not a stored view: {problem}") from None
+    if format_ != FORMAT or type(number) is not int or None in slots.values():
+        raise StoredViewError("not a stored view of this format")
+    return View(number, slots)
 
 
 class Pages:
@@ -67,18 +68,18 @@
     def __init__(self) -> None:
         self.number, self.pages, self.page_count = 0, dict[int, list](), 0
 
-    def add(self, number: int, page: int, of: int, rows: list) -> list | None:
-        """All rows once the last page came."""
-        if not 0 <= page < of <= MAX_PAGES:
+    def add(self, number: int, page: int, page_count: int, rows: list) -> list | None:
+        """Returns all rows once the last page came, else None."""
+        if not 0 <= page < page_count <= MAX_PAGES:
             return None
-        if number != self.number or of != self.page_count:
-            self.number, self.pages, self.page_count = number, {}, of
+        if number != self.number or page_count != self.page_count:
+            self.number, self.pages, self.page_count = number, {}, page_count
         self.pages[page] = rows
-        return [r for k in range(of) for r in self.pages[k]] if len(self.pages) == of else None
+        return [r for k in range(page_count) for r in self.pages[k]] if len(self.pages) == page_count else None
 
 
 def changed_slots(old: View, new: View) -> list[list]:
-    """Rows that make one view into another; an empty seat is free."""
+    """Returns the slots in which two views differ, as rows; an empty one is free in the new view."""
     numbers = old.slots.keys() | new.slots.keys()
     return [
         [n, new.slots[n].pack() if n in new.slots else b""]
@@ -87,48 +88,47 @@
 
 
 def apply_changes(old: View, number: int, rows: list) -> View:
-    seats = dict(old.slots)
+    """Returns the view that results from a base and the rows of changed slots."""
+    slots = dict(old.slots)
     for n, data in rows:
-        taken = unpack_slot(data)
-        if taken is None:
-            seats.pop(n, None)
+        slot = unpack_slot(data)
+        if slot is None:
+            slots.pop(n, None)
         else:
-            seats[n] = taken
-    return View(number, seats)
+            slots[n] = slot
+    return View(number, slots)
 
 
 class ViewManager:
-    """A seed's part in views: as a voter that keeps them, and as the chair that makes them."""
+    """One seed's stored view and, while it leads, its proposals."""
 
-    def __init__(self, fleet: Fleet, kept: View) -> None:
-        self.fleet, self.stored = fleet, kept
-        self.pending_saves: dict[
-            int, tuple[View, int]
-        ] = {}  # by serial of the order: a view, and who waits for its vote
+    def __init__(self, fleet: Fleet, stored: View) -> None:
+        self.fleet, self.stored = fleet, stored
+        self.pending_saves: dict[int, tuple[View, int]] = {}  # by serial: a view, and who waits for the vote
         self.serial = 0
         self.proposal_pages, self.fetched_pages = Pages(), Pages()
-        # as chair
+        # As the leader:
         self.state, self.ballot = CLOSED, 0
-        self.latest = self.base = self.proposed = kept  # what it put last, on what, and what it puts now
+        self.latest = self.base = self.proposed = stored  # the last view, its base, and the proposal
         self.accepted_by: set[int] = set()
-        self.needs_snapshot: set[int] = set()  # voters that need all seats, not the changes
+        self.needs_snapshot: set[int] = set()  # seeds that need all slots, not the changes
         self.sent_at = self.opened_at = 0.0
         self.source = (0, 0)
         self.slot_requests: dict[int, SlotRequest] = {}
-        self.left: dict[int, float] = {}  # processes that gave their seats back, and when
-        self.lost_at: dict[int, float] = {}  # seats, and since when they are LOST in a view in force
-        self.unknown_since: dict[int, float] = {}  # processes with a seat that nobody knows of, and since when
+        self.left: dict[int, float] = {}  # processes that gave their slots back, and when
+        self.lost_at: dict[int, float] = {}  # slots, and since when they are LOST in a view in force
+        self.unknown_since: dict[int, float] = {}  # processes with a slot that are no known members
 
-    # --- as a voter ------------------------------------------------------------------------------
+    # --- as an acceptor --------------------------------------------------------------------------
 
     def on_proposal(self, sender: int, body: list) -> None:
-        """The chair proposes a view."""
-        ballot, number, base, digest, page, of, rows = body
-        vote = self.fleet.lease_acceptor
-        # While its grant to the chair lasts, nobody else can be in it: renewals raise what it promised meanwhile.
-        late = ballot < vote.promised_ballot and vote.current_holder(self.fleet.now) != sender
-        if late or number <= self.stored.number:
-            # Also told of one that is kept already: the vote may have been lost.
+        """The leader proposes a view."""
+        ballot, number, base, digest, page, page_count, rows = body
+        acceptor = self.fleet.lease_acceptor
+        # While the accepted lease lasts nobody else can lead; renewals raise the promised ballot meanwhile.
+        is_outdated = ballot < acceptor.promised_ballot and acceptor.current_holder(self.fleet.now) != sender
+        if is_outdated or number <= self.stored.number:
+            # Also answered for a view that is already stored: the first answer may have been lost.
             self.fleet.send(f.VIEW_ACCEPT, sender, [number, number == self.stored.number, self.stored.number])
             return
         if base not in (0, self.stored.number):
@@ -136,7 +136,7 @@
             return
         if any(v.number == number for v, _ in self.pending_saves.values()):
             return
-        if (all_rows := self.proposal_pages.add(number, page, of, rows)) is None:
+        if (all_rows := self.proposal_pages.add(number, page, page_count, rows)) is None:
             return
         view = apply_changes(self.stored if base else View(), number, all_rows)
         if view.digest() == digest:
@@ -150,7 +150,7 @@
         self.fleet.save_file(self.serial, pack_view(view))
 
     def on_saved(self, serial: int) -> None:
-        """On disk: the vote counts from now on."""
+        """The view is on disk: the vote counts from now on."""
         for n in [n for n in self.pending_saves if n <= serial]:
             view, asker = self.pending_saves.pop(n)
             if view.number > self.stored.number:
@@ -161,43 +161,46 @@
                 self.fleet.send(f.VIEW_ACCEPT, asker, [view.number, True, view.number])
 
     def on_fetch(self, sender: int, number: int) -> None:
+        """A new leader asks for the stored view."""
         if number == self.stored.number:
-            for kind_rows in self._paginate_changes(View(), self.stored):
-                self.fleet.send(f.VIEW_PAGE, sender, [number, self.stored.digest(), *kind_rows])
+            for page in self._paginate_changes(View(), self.stored):
+                self.fleet.send(f.VIEW_PAGE, sender, [number, self.stored.digest(), *page])
 
     @staticmethod
     def _paginate_changes(old: View, new: View) -> list[list]:
-        parts = paginate(changed_slots(old, new), PAGE_BYTES) or [[]]
-        return [[k, len(parts), rows] for k, rows in enumerate(parts)]
+        pages = paginate(changed_slots(old, new), PAGE_BYTES) or [[]]
+        return [[k, len(pages), rows] for k, rows in enumerate(pages)]
 
-    # --- as the chair ----------------------------------------------------------------------------
+    # --- as the leader ---------------------------------------------------------------------------
 
-    def on_elected(self, ballot: int, newest: int, who: int) -> None:
-        """The lease is new."""
+    def on_elected(self, ballot: int, newest: int, seed: int) -> None:
+        """This seed became the leader. ``newest`` is the number of the newest stored view that a promise named,
+        ``seed`` the process that has it."""
         self.ballot, self.opened_at, self.latest = ballot, self.fleet.now, self.stored
         self.lost_at, self.unknown_since, self.slot_requests = {}, {}, {}
         if newest > self.stored.number:
-            self.state, self.source, self.sent_at = FETCHING, (newest, who), 0.0
+            self.state, self.source, self.sent_at = FETCHING, (newest, seed), 0.0
         else:
             self.state = CLOSED
             self._propose(self.stored.slots)
 
     def on_page(self, sender: int, body: list) -> None:
-        number, digest, page, of, rows = body
+        """A page of a fetched view came."""
+        number, digest, page, page_count, rows = body
         if self.state != FETCHING or (number, sender) != self.source:
             return
-        if (all_rows := self.fetched_pages.add(number, page, of, rows)) is not None:
+        if (all_rows := self.fetched_pages.add(number, page, page_count, rows)) is not None:
             view = apply_changes(View(), number, all_rows)
             if view.digest() == digest:
                 self.latest = view
                 self._propose(view.slots)
 
-    def _propose(self, seats: dict, after: int = 0) -> None:
+    def _propose(self, slots: dict, after: int = 0) -> None:
         newest = max(after, self.latest.number, self.fleet.view.number, self.stored.number)
-        if (heading := self.fleet.table.get(VIEW_HEADER, 0)) is not None:
-            newest = max(newest, heading[0])  # all seeds lost their files: the numbers still go on
+        if (header := self.fleet.table.get(VIEW_HEADER, 0)) is not None:
+            newest = max(newest, header[0])  # numbers go on even if all seeds lost their files
         self.base = self.latest
-        self.latest = self.proposed = View(next_view_number(newest, self.fleet.settings.seed_index), dict(seats))
+        self.latest = self.proposed = View(next_view_number(newest, self.fleet.settings.seed_index), dict(slots))
         self.state, self.accepted_by, self.needs_snapshot = PROPOSING, set(), set()
         self._store(self.proposed, self.fleet.me)
         self._send_proposal()
@@ -207,19 +210,21 @@
         for voter in self.fleet.other_seeds():
             if voter.id in self.accepted_by:
                 continue
-            whole = voter.id in self.needs_snapshot
-            base = View() if whole else self.base
-            for part in self._paginate_changes(base, view):
-                body = [self.ballot, view.number, base.number, view.digest(), *part]
+            is_complete = voter.id in self.needs_snapshot
+            base = View() if is_complete else self.base
+            for page in self._paginate_changes(base, view):
+                body = [self.ballot, view.number, base.number, view.digest(), *page]
                 self.fleet.send(f.VIEW_PROPOSE, voter.id, body)
 
-    def on_accept(self, voter: int, number: int, ok: bool, has: int) -> None:
+    def on_accept(self, voter: int, number: int, is_stored: bool, stored_number: int) -> None:
+        """A seed stored the proposal, or refused it and names the view that it stores. With a majority the view is in
+        force."""
         fleet = self.fleet
         if self.state != PROPOSING or number != self.proposed.number or not fleet.leader_lease.is_held():
             return
-        if not ok:
-            if has > number:  # of an earlier chair, and never in force: a majority would have told of it
-                self._propose(self.proposed.slots, has)
+        if not is_stored:
+            if stored_number > number:  # of an earlier leader and never in force, else a majority would have named it
+                self._propose(self.proposed.slots, stored_number)
             else:
                 self.needs_snapshot.add(voter)
             return
@@ -232,27 +237,28 @@
             if s.state == LOST:
                 self.lost_at.setdefault(n, fleet.now)
         self.lost_at = {n: t for n, t in self.lost_at.items() if n in view.slots and view.slots[n].state == LOST}
-        for id_ in [i for i in self.slot_requests if view.has_active_slot(i)]:
-            del self.slot_requests[id_]
-            self._push_view(id_)
-        for id_ in [i for i in self.left if view.slot_of(i) < 0]:
-            fleet.send(f.SLOT_RELEASED, id_, [])
+        for process in [i for i in self.slot_requests if view.has_active_slot(i)]:
+            del self.slot_requests[process]
+            self._push_view(process)
+        for process in [i for i in self.left if view.slot_of(i) < 0]:
+            fleet.send(f.SLOT_RELEASED, process, [])
 
     def _accepting_seeds(self) -> list:
         fleet = self.fleet
-        known = [m.address for m in fleet.members.known.values() if m.id in self.accepted_by]
+        known = [member.address for member in fleet.members.known.values() if member.id in self.accepted_by]
         return [a for a in known if a in fleet.settings.seeds]
 
-    def _push_view(self, id_: int) -> None:
-        """Who asked for a seat need not wait until it hears of the view from others."""
-        table, n = self.fleet.table, self.fleet.view.slot_of(id_)
-        others = sorted(k for k in table.entries_of(SLOT) if k != n)
-        keys = [(VIEW_HEADER, 0), (SLOT, n), *((SLOT, k) for k in others)]
+    def _push_view(self, receiver: int) -> None:
+        """Sends the view to a member that asked for a slot, so that it need not wait for gossip."""
+        table, slot = self.fleet.table, self.fleet.view.slot_of(receiver)
+        others = sorted(k for k in table.entries_of(SLOT) if k != slot)
+        keys = [(VIEW_HEADER, 0), (SLOT, slot), *((SLOT, k) for k in others)]
         rows = [table.row(k) for k in keys if table.get(*k) is not None]
-        for portion in paginate(rows, PAGE_BYTES)[:MAX_PUSHED_DATAGRAMS]:
-            self.fleet.send(f.ROWS, id_, [portion])
+        for page in paginate(rows, PAGE_BYTES)[:MAX_PUSHED_DATAGRAMS]:
+            self.fleet.send(f.ROWS, receiver, [page])
 
     def tick(self, _: object = None) -> None:
+        """Repeats what was not answered, proposes the next view, and closes when the lease expired."""
         fleet, now = self.fleet, self.fleet.now
         if self.state != CLOSED and not fleet.leader_lease.is_held():
             self.state = CLOSED
@@ -260,7 +266,7 @@
             self.sent_at = now
             fleet.send(f.VIEW_FETCH, self.source[1], [self.source[0]])
             if now > self.opened_at + fleet.settings.leader_lease_ms:
-                fleet.leader_lease.release()  # who had the view is gone; another round finds another
+                fleet.leader_lease.release()  # the seed that had the view is gone; another round finds another
         elif self.state == PROPOSING and now >= self.sent_at + RESEND_MS:
             self._send_proposal()
         elif self.state == OPEN:
@@ -268,56 +274,58 @@
         fleet.call_after(STEP_MS, self.tick, None)
 
     def _propose_next(self) -> None:
-        fleet, now, seats = self.fleet, self.fleet.now, self.latest.slots
-        keep = max_under_drift(fleet.settings.keep_ms)
-        freed = [n for n, t in self.lost_at.items() if now - t >= keep]
+        fleet, now, slots = self.fleet, self.fleet.now, self.latest.slots
+        hold_ms = max_under_drift(fleet.settings.keep_ms)
+        freed = [n for n, t in self.lost_at.items() if now - t >= hold_ms]
         silent, left = [], set(self.left)
-        for s in seats.values():
-            m = fleet.members.known.get(s.id)
-            if m is not None:
-                self.unknown_since.pop(s.id, None)
-                if m.state == LEFT:
-                    left.add(s.id)
-                elif m.state == DEAD:
-                    silent.append(s.id)
-            elif now - self.unknown_since.setdefault(s.id, now) > suspicion_ms(fleet.settings.slot_count):
-                silent.append(s.id)
-        wishes = sorted(self.slot_requests.values(), key=lambda w: (w.slot < 0, w.slot, w.id))
+        for slot in slots.values():
+            member = fleet.members.known.get(slot.id)
+            if member is not None:
+                self.unknown_since.pop(slot.id, None)
+                if member.state == LEFT:
+                    left.add(slot.id)
+                elif member.state == DEAD:
+                    silent.append(slot.id)
+            elif now - self.unknown_since.setdefault(slot.id, now) > suspicion_ms(fleet.settings.slot_count):
+                silent.append(slot.id)
+        requests = sorted(self.slot_requests.values(), key=lambda w: (w.slot < 0, w.slot, w.id))
         new, refused = assign_slots(
-            seats, fleet.settings.slot_count, wishes, left, silent, freed, MAX_CHANGES_PER_VIEW
+            slots, fleet.settings.slot_count, requests, left, silent, freed, MAX_CHANGES_PER_VIEW
         )
-        for id_, why in refused.items():
-            self.slot_requests.pop(id_, None)
-            fleet.send(f.SLOT_REFUSED, id_, [why])
-        self.left = {i: t for i, t in self.left.items() if now - t < keep}
-        if new != seats:
+        for process, why in refused.items():
+            self.slot_requests.pop(process, None)
+            fleet.send(f.SLOT_REFUSED, process, [why])
+        self.left = {i: t for i, t in self.left.items() if now - t < hold_ms}
+        if new != slots:
             self._propose(new)
 
-    def request_slot(self, id_: int, address: tuple[str, int], number: int) -> None:
-        m = self.fleet.members.known.get(id_)
-        if self.state == CLOSED or not self.fleet.leader_lease.is_held() or id_ in self.left:
+    def request_slot(self, process: int, address: tuple[str, int], slot: int) -> None:
+        """A member asks for a slot; ``slot`` -1: for any."""
+        member = self.fleet.members.known.get(process)
+        if self.state == CLOSED or not self.fleet.leader_lease.is_held() or process in self.left:
             return
-        if m is None or m.state >= DEAD:
-            return  # it is told so, and objects first: else its seat would be lost and taken in turns
-        if self.state == OPEN and self.latest.has_active_slot(id_) and number in (-1, self.latest.slot_of(id_)):
-            self._push_view(id_)
+        if member is None or member.state >= DEAD:
+            return  # it has to object first, or its slot would be lost and assigned in turns
+        if self.state == OPEN and self.latest.has_active_slot(process) and slot in (-1, self.latest.slot_of(process)):
+            self._push_view(process)
         elif len(self.slot_requests) < 2 * self.fleet.settings.slot_count:
-            self.slot_requests[id_] = SlotRequest(id_, address, number)
+            self.slot_requests[process] = SlotRequest(process, address, slot)
 
-    def release_slot(self, id_: int) -> None:
-        """A process gives its seat back; it will do nothing on it any more."""
+    def release_slot(self, process: int) -> None:
+        """A member gives its slot back and no longer acts on it."""
         if self.state == CLOSED or not self.fleet.leader_lease.is_held():
             return
-        self.slot_requests.pop(id_, None)
-        if self.state == OPEN and self.latest.slot_of(id_) < 0:
-            self.fleet.send(f.SLOT_RELEASED, id_, [])
+        self.slot_requests.pop(process, None)
+        if self.state == OPEN and self.latest.slot_of(process) < 0:
+            self.fleet.send(f.SLOT_RELEASED, process, [])
         if len(self.left) < 2 * self.fleet.settings.slot_count:
-            self.left.setdefault(id_, self.fleet.now)
+            self.left.setdefault(process, self.fleet.now)
 
     def is_well_formed(self, body: Any) -> bool:
-        """Whether a body of a put or a page has the form that its reading needs."""
+        """Whether the rows of a proposal or a page have the form that reading them needs."""
         rows = body[-1] if body else None
         return isinstance(rows, list) and all(
-            isinstance(r, list) and len(r) == 2 and type(r[0]) is int and 0 <= r[0] < self.fleet.settings.slot_count
-            and isinstance(r[1], bytes) and (not r[1] or unpack_slot(r[1]) is not None) for r in rows
+            isinstance(row, list) and len(row) == 2
+            and type(row[0]) is int and 0 <= row[0] < self.fleet.settings.slot_count
+            and isinstance(row[1], bytes) and (not row[1] or unpack_slot(row[1]) is not None) for row in rows
         )  # fmt: skip
