--- a/rushweir/edge/backend_links.py
+++ b/rushweir/edge/backend_links.py
@@ -36,7 +36,7 @@
 class Probe:
     """A health probe that has no result yet."""
 
-    server: str
+    node: str
     sent_ms: float
 
 
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -185,7 +185,7 @@
     # --- internals -------------------------------------------------------------------------------
 
     def _assign(self, job: commands.Attempt | Probe) -> None:
-        backend = self.backends.get(job.server)
+        backend = self.backends.get(job.node)
         if backend is None or not backend.ready:
             self._end(job, interface.Result.SUPERSEDED)
             return
@@ -267,7 +267,7 @@
             payload = job.payload
             data = b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (
                 payload.head,
-                max(1, int(job.until_ms - self.now)),
+                max(1, int(job.deadline_ms - self.now)),
                 payload.body,
             )
         self.out.append(commands.Write(link.conn, data))
@@ -293,7 +293,7 @@
         self.job_places.pop(id(job), None)
         load = _load(answer) if answer is not None else None
         if isinstance(job, Probe):
-            self.ended.append(commands.ProbeEnded(job.server, result, self.now - job.sent_ms, load))
+            self.ended.append(commands.ProbeEnded(job.node, result, self.now - job.sent_ms, load))
         elif answer is None:
             self.ended.append(commands.AttemptEnded(job, result))
         else:
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -246,9 +246,9 @@
             self._write_answer(200, answer.body)
         elif answer.kind == AnswerKind.REFUSED:
             wait = b"Retry-After: %.3f\r\n" % (answer.retry_after_ms / 1000) if answer.retry_after_ms > 0 else b""
-            self._write_answer(429 if answer.why in QUOTA_REASONS else 503, answer.why.encode(), wait)
+            self._write_answer(429 if answer.reason in QUOTA_REASONS else 503, answer.reason.encode(), wait)
         else:
-            self._write_answer(502, answer.why.encode())
+            self._write_answer(502, answer.reason.encode())
 
     def _write_answer(self, status: int, body: bytes, more: bytes = b"") -> None:
         # The number of client connections is limited, and some clients keep theirs open after one request. While many
