--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""The edge's parts with time and connections in the test's hand; no socket, no clock."""
+"""Harness of the edge tests: an ingress whose time and connections the test controls; no sockets, no clock."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def request(rid="id-1", cls="position", plan="wide", customer="0000000000000001", method="GET", body=b"", **headers):
-    """A request as the platform's clients write it; a header given as None is left out."""
+    """Returns the bytes of a request as the platform's clients write it; a header given as None is omitted."""
     lines = {
         "Host": "origin.svc", "Req-Id": rid, "Req-Kind": cls, "X-Contract": plan, "Req-Deadline-Ms": "2000",
         "X-Metering": "units=1,spread=1,first=0",
@@ -55,7 +55,7 @@
 
 
 class Edge:
-    """A whole ingress without a shell. Orders are read off the core; what is not looked at is kept in ``seen``."""
+    """An ingress without a shell. ``commands`` collects the commands of its core."""
 
     def __init__(self, settings=SETTINGS, known=LIST, **setup):
         self.now, self.commands = 10_000.0, []
@@ -70,7 +70,7 @@
         self.turn()
 
     def turn(self):
-        """Carry out orders as a shell would, without a network: note them, and what is closed."""
+        """Takes the core's commands as a shell would, without a network, and returns them."""
         found = []
         while self.core.commands:
             order = self.core.commands.popleft()
@@ -83,7 +83,7 @@
         return found
 
     def advance_ms(self, ms):
-        """Let time pass, timer by timer."""
+        """Advances the time timer by timer, and returns the commands."""
         end, found = self.now + ms, []
         while (at := self.core.next_at()) is not None and at <= end:
             self.now = max(self.now, at)
@@ -98,7 +98,7 @@
         return conn
 
     def receive(self, conn, data):
-        """Bytes on a connection; returns what the ingress wrote on it at once, or ordered."""
+        """Delivers bytes on a connection, and returns the commands that follow at once."""
         self.core.received(self.now, conn, data)
         return self.turn()
 
@@ -106,17 +106,17 @@
         return b"".join(o.data for o in self.commands if isinstance(o, c.Write) and o.conn == conn)
 
     def complete_dial(self, orders):
-        """The dials among some orders come up; returns the first connection to a backend."""
+        """Completes the first dial to a backend among some commands; returns its connection and the next commands."""
         dial = next(o for o in orders if isinstance(o, c.Dial) and o.port == 80)
         self.core.dialed(self.now, dial.conn)
         return dial.conn, self.turn()
 
     def send_request(self, data=None, conn=None):
-        """A client asks; its attempt goes out. Returns both connections."""
+        """Sends a client's request and lets its attempt be written. Returns both connections."""
         conn = self.connect() if conn is None else conn
         orders = self.receive(conn, data or request())
         if not any(isinstance(o, c.Dial) or (isinstance(o, c.Write) and o.conn != conn) for o in orders):
-            orders = self.advance_ms(COOLDOWN_MS)  # it waits for a connection that rests
+            orders = self.advance_ms(COOLDOWN_MS)  # it waits for a connection that cools down
         backend_conn = next((o.conn for o in orders if isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data), None)
         if backend_conn is None:
             backend_conn, _ = self.complete_dial(orders)
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -1,4 +1,4 @@
-"""What backends send and how their connections end, against a whole ingress without sockets."""
+"""Tests of answers of backends and ends of their connections, with an ingress without sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def again(edge, mark=b"id-1"):
-    """How many attempts of a request were written."""
+    """Returns how many attempts of a request were written."""
     return sum(isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data and mark in o.data for o in edge.commands)
 
 
@@ -43,7 +43,7 @@
     conn, backend_conn = edge.send_request()
     orders = edge.receive(backend_conn, SPOILT[name])
     assert backend_conn in edge.closed and not edge.written(conn)
-    # A class that is safe to repeat: the next attempt goes out, after the first one's connection was cut.
+    # The class is safe to repeat: the next attempt is sent after the connection of the first was cut.
     kinds = [type(o) for o in orders if isinstance(o, c.AbortConnection | c.Dial)]
     assert kinds == [c.AbortConnection, c.Dial]
     backend_conn, _ = edge.complete_dial(orders)
@@ -101,7 +101,7 @@
     conn, backend_conn = edge.send_request()
     edge.receive(backend_conn, answer())
     for n in range(40):
-        edge.advance_ms(COOLDOWN_MS)  # it rested: a connection just answered on carries nothing for so long
+        edge.advance_ms(COOLDOWN_MS)  # its cooldown, in which the connection is not reused
         _, used = edge.send_request(request(f"r{n}"), conn)
         edge.receive(used, answer())
     assert len(edge.core.pool.links) <= 3
@@ -130,7 +130,7 @@
 
 
 def change(edge, version, full=False, **states):
-    """Discovery tells of some backends; returns the orders that follow in the same turn."""
+    """Delivers a list with the states of some backends; returns the commands that follow in the same turn."""
     source = edge.core.list
     if source.state == "dialing":
         edge.core.dialed(edge.now, source.conn)
@@ -213,7 +213,7 @@
 
 
 def retell(edge, name, **other):
-    """Discovery tells of one backend anew, with other fields; returns the orders that follow."""
+    """Delivers one backend again with other fields; returns the commands that follow."""
     change(edge, 8)
     entry = next(e for e in LIST["servers"] if e["id"] == name) | other
     page = {"version": 9, "full": False, "servers": [entry]}
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("other", ELSEWHERE)
 def test_attempt_waiting_for_a_moved_backend_is_decided_again(edge, other):
-    """Its dial led to where the backend had been, and carried the request there when it came up."""
+    """Its dial led to the former address of the backend, and carried the request there once it succeeded."""
     conn = edge.connect()
     dial = next(o for o in edge.receive(conn, booking()) if isinstance(o, c.Dial) and o.port == 80)
     name = next(e["id"] for e in LIST["servers"] if e["addr"] == f"{dial.host}:80")
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize("other", ELSEWHERE)
 def test_busy_connection_to_a_moved_backend_closes_after_its_answer(edge, other):
-    """It was kept, and carried the next request to where the backend had been."""
+    """The connection was kept, and carried the next request to the former address of the backend."""
     conn, backend_conn = edge.send_request()
     retell(edge, edge.core.pool.links[backend_conn].backend.id, **other)
     assert backend_conn not in edge.closed
@@ -252,10 +252,11 @@
 
 
 def test_late_duplicate_answer_is_not_taken_for_another_request(edge):
-    """The connection carried the next request at once, and a copy some milliseconds late was its answer."""
+    """The connection was reused at once, and a duplicate answer some milliseconds later was taken for the next
+    one."""
     conn, backend_conn = edge.send_request(request("one"))
     edge.receive(backend_conn, answer(b"for one"))
-    for rid in ("two", "three", "four"):  # to all backends there are
+    for rid in ("two", "three", "four"):  # to all backends
         edge.receive(edge.connect(), request(rid))
     assert not [
         o
@@ -282,7 +283,7 @@
 
 
 def test_connections_cut_together_are_cut_in_a_fixed_order():
-    """They lay in a set, whose order is another in each process: equal events have to give equal orders."""
+    """The order of a set differs between processes, but equal events must give equal commands."""
     edge = Edge(known=LIST | {"servers": LIST["servers"][:1]})
     edge.policy.capacity.finished.add(400.0, edge.now)
     edge.policy.capacity.partition(1, edge.now)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -1,4 +1,4 @@
-"""The platform's clients, usual and bad, against a whole ingress without sockets."""
+"""Tests of valid and invalid clients of the platform, with an ingress without sockets."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     orders = edge.receive(conn, UNREADABLE[name])
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
     assert b"Connection: close" in edge.written(conn) and conn in edge.closed
-    # Its error reaches a client that still sends: the end is of this side's writing, a cut comes only after more.
+    # The error reaches a client that still sends: only writing ends here, and the connection is cut after more bytes.
     assert not any(isinstance(o, c.AbortConnection) for o in orders)
     assert not edge.core.engine.ledger.entries
     assert any(isinstance(o, c.AbortConnection) for _ in range(6) for o in edge.receive(conn, b"z" * 60_000))
@@ -198,9 +198,10 @@
 
 
 def test_rejected_connections_make_room_for_new_requests():
-    """Those turned away lingered above the bound, one went for each newcomer, and so all newcomers were refused."""
+    """Rejected connections lingered above the limit, one was closed for each new client, and all of these were
+    rejected."""
     edge = Edge(max_clients=4)
-    for _ in range(20):  # at once: none is old enough to go
+    for _ in range(20):  # at once: none is old enough to be closed
         edge.connect()
     assert edge.core.counts["turned_away"] > 0
     edge.advance_ms(100.0)
@@ -210,7 +211,7 @@
 
 
 def test_clients_idle_after_one_request_do_not_block_new_ones():
-    """They counted as in use for 2 s, and newcomers, each with a request, were turned away into retries (r03c8f5)."""
+    """They counted as in use for 2 s, and new clients, each with a request, were rejected (incident r03c8f5)."""
     edge = Edge(max_clients=4)
     for n in range(20):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
@@ -231,7 +232,7 @@
 
 
 def test_answered_connections_close_while_too_many_are_open():
-    """Connections that had asked once were all that clients might hold: half of the tries found none (r03c8f5)."""
+    """Connections idle after one request used the whole limit, and half of the connects failed (incident r03c8f5)."""
     edge, open_now = Edge(crowded_above=3), []
     for n in range(6):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
@@ -245,7 +246,7 @@
 
 
 def test_pipelined_requests_are_answered_before_a_stopping_ingress_closes(edge):
-    """The answer to the first said that the connection closes, and took the second along."""
+    """The answer to the first request closed the connection, and the second was lost."""
     conn, backend_conn = edge.send_request(request("one") + request("two"))
     edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
@@ -258,7 +259,7 @@
 
 
 def test_reload_with_other_peers_replaces_the_old_ones():
-    """Datagrams of the old ones counted under numbers that were others' by then."""
+    """Datagrams of former peers were attributed to others that had their numbers by then."""
     a, b, new = ("10.0.0.1", 7946), ("10.0.0.2", 7946), ("10.0.0.9", 7946)
     sharing = replace(SETTINGS, gateways=2, sharing=replace(SETTINGS.sharing, peers=True))
     edge = Edge(sharing, peers=(a, b))
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -1,8 +1,8 @@
-"""New connections that end with no answer: each way there is, and what keeps a request that has begun from it.
+"""Tests of new connections that end without an answer, and that a request that has begun is not among them.
 
-The platform counts such a request as refused, and as lost beyond one in 200. The ways, all of this file: room made
-for newcomers; 50 ms of quiet once the process is told to end, and again 0.7 s later; what still lies in the listening
-queue by then; the process's last moment. Whoever is turned away, too slow or unreadable gets an answer.
+The platform counts such a request as refused, and as lost beyond one in 200. It can happen when a connection is
+closed for a new client; after 50 ms without bytes at shutdown, and again 0.7 s later; in the listen queue at that
+time; and at the very end of the process. Rejected, slow and malformed clients get an answer.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from tests.edge.conftest import Edge, answer, booking, request
 from tests.edge.live import run_scenario
 
-COMES_MS = 400.0  # after SIGTERM new connections keep coming for so long, by the platform's page
+COMES_MS = 400.0  # new connections arrive for so long after SIGTERM, by the platform's page
 
 
 def part(data, how):
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("how", ["nothing", "a byte", "half", "all but a byte"])
 @pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
 def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
-    """From its first byte on a request is waited for, and served."""
+    """From its first byte on a request is awaited and served."""
     edge, data = Edge(max_clients=3), booking("one")
     conn = edge.connect()
     if how != "nothing":
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("ms", [0.0, 100.0, 300.0, COMES_MS])
 @pytest.mark.parametrize("quiet", [0.0, LINGER_MS - 1.0])
 def test_new_connections_during_shutdown_are_answered(ms, quiet):
-    """New connections come for up to 0.4 s, and one that came then is not closed for its quiet before 0.7 s."""
+    """New connections arrive for up to 0.4 s, and these are not closed as idle before 0.7 s."""
     edge = Edge()
     edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
@@ -91,7 +91,7 @@
 
 def test_rejected_slow_and_malformed_clients_get_an_answer():
     edge = Edge(max_clients=1)
-    edge.send_request()  # under way: it does not go
+    edge.send_request()  # an open request: its connection is not closed
     away = edge.connect()
     assert edge.statuses(away) == [503]
     edge = Edge()
@@ -107,19 +107,20 @@
 
 
 def test_listen_queue_is_answered_when_shutdown_begins():
-    """As many as one turn of the loop takes in connected and asked while it did something else, and then the end
-    begins. The queue of later ones is reset: by the platform nobody comes any more for 0.3 s by then."""
+    """As many clients as one turn of the loop accepts connect and send while it is busy, and then shutdown begins.
+
+    Later ones in the queue are reset: on the platform no client has connected for 0.3 s by then."""
 
     async def scenario(live):
         socks = []
         for k in range(16):
-            sock = socket.create_connection(("127.0.0.1", live.port))  # no await: nobody accepts it
+            sock = socket.create_connection(("127.0.0.1", live.port))  # no await, so that it is not accepted
             sock.sendall(request(f"r{k}"))
             sock.setblocking(False)
             socks.append(sock)
         live.clients += socks
         assert live.core.counts["accepted"] == 0
-        await asyncio.sleep(0)  # the turn in which they are taken in
+        await asyncio.sleep(0)  # the turn in which they are accepted
         live.core.drain_clients(live.shell.clock(), live.core.setup.settings)
         live.shell.carry_out()
         stopping = asyncio.create_task(live.shell.stop(3_000.0))
@@ -135,7 +136,7 @@
 def test_connection_queued_after_accepting_ended_is_reset_and_not_forwarded():
     async def scenario(live):
         stopping = asyncio.create_task(live.shell.stop(0.0))
-        await asyncio.sleep(0)  # nobody is taken in any more; the socket still listens
+        await asyncio.sleep(0)  # accepting has ended; the socket still listens
         sock = socket.create_connection(("127.0.0.1", live.port))
         sock.sendall(request("late"))
         await stopping
@@ -149,7 +150,7 @@
 
 
 def test_request_after_shutdown_is_discarded_and_not_forwarded():
-    """Its request comes after the shutdown: read, thrown away, and never sent on."""
+    """The request arrives after the shutdown of the socket: it is read, discarded and not forwarded."""
 
     async def scenario(live):
         sock = await live.client()
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -1,4 +1,4 @@
-"""Connections that end while something of a request is on them: nothing owed goes with them. Real sockets."""
+"""Tests of connections that end during a request: no answer is lost with them. Real sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_request_completed_during_shutdown_is_answered():
-    """It was closed after 50 ms of quiet, as an idle one: its last byte met a closed connection."""
+    """It was closed as idle after 50 ms without bytes, and its last byte arrived at a closed connection."""
 
     async def scenario(live):
         first, last = halves(booking())
@@ -24,7 +24,7 @@
         await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
         live.core.drain_clients(live.shell.clock(), live.core.setup.settings)
         live.shell.carry_out()
-        assert await live.shell.loop.sock_recv(idle, 1) == b""  # the idle one is closed by now
+        assert await live.shell.loop.sock_recv(idle, 1) == b""  # the idle connection is closed
         stopping = asyncio.create_task(live.shell.stop(3_000.0))
         await live.until(lambda: live.core.stopping)
         await live.send(half, last)
@@ -51,7 +51,7 @@
 
 
 def test_connection_with_an_incomplete_request_is_not_closed_for_a_new_client():
-    """It counted as spare, and was cut off: the request whose last byte came then was lost without a word."""
+    """It counted as idle and was closed, and a request whose last byte arrived then was lost without an answer."""
 
     async def scenario(live):
         first, last = halves(booking())
@@ -60,7 +60,7 @@
         await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
         idle = await live.client()
         for client in live.core.clients.open.values():
-            client.quiet_at -= 1_000.0  # both are quiet for long; the half one for longer
+            client.quiet_at -= 1_000.0  # both are silent for long, the incomplete one for longer
         await live.client()
         assert await live.shell.loop.sock_recv(idle, 1) == b""
         await live.send(half, last)
@@ -79,7 +79,7 @@
         await live.send(sock, first)
         await live.until(lambda: client.front.partial_message)
         client.quiet_at -= 5_000.0
-        live.core.clients._idle_http((client, 1_000.0))  # the timer, at this instant
+        live.core.clients._idle_http((client, 1_000.0))  # the timer fires now
         live.shell.carry_out()
         await live.send(sock, last)
         assert (await live.read(sock))[0] == 200
@@ -88,7 +88,7 @@
 
 
 def test_last_answer_reaches_a_slow_reader():
-    """After a second its connection was cut with the rest of the answer still on this side."""
+    """Its connection was cut after a second, while the rest of the answer was still in this process."""
 
     async def scenario(live):
         live.body = b"x" * 60_000
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("more", [b"", b"GET / HTTP/1.1\r\nHos", request("three")])
 def test_bytes_after_the_last_request_do_not_reset_its_answer(more):
-    """What lies unread when a socket closes resets its connection, and with it what the client has not read yet."""
+    """Closing a socket with unread bytes resets the connection, and discards what the client has not read yet."""
 
     async def scenario(live):
         live.release.clear()
@@ -120,7 +120,7 @@
 
 
 def test_pipelined_request_counts_its_deadline_from_its_arrival(edge):
-    """It was given its whole time again when its turn came: the client had long given up."""
+    """Its deadline started anew when its turn came, long after the client had given up."""
     conn, backend_conn = edge.send_request(request("one"))
     edge.receive(conn, request("two", Req_Deadline_Ms="300"))
     edge.advance_ms(290.0)
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -1,5 +1,5 @@
-"""Messages in all forms that HTTP/1.1 and the platform's page allow, cut into pieces at every byte: each form reads
-as the plain one does. Requests, backends' answers, lists."""
+"""Tests that requests, answers and lists parse alike in every form that HTTP/1.1 and the platform's page allow,
+split at every byte."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 CUSTOMER = "0000000000abcdef"
 
 
-def told(data, old, new):
-    """A message with some bytes of it in another form, which are there."""
+def vary(data, old, new):
+    """Returns a message with some of its bytes replaced; they must be in it."""
     assert old in data
     return data.replace(old, new)
 
 
 def chunked(*pieces, more=b"", trailers=b""):
-    """A keyed request whose body comes in chunks."""
+    """Returns a keyed request with a chunked body."""
     head, _, _ = KEYED.partition(b"\r\n\r\n")
-    head = told(head, b"Content-Length: 9", b"Transfer-Encoding: chunked")
+    head = vary(head, b"Content-Length: 9", b"Transfer-Encoding: chunked")
     body = b"".join(b"%x%s\r\n%s\r\n" % (len(p), more, p) for p in pieces)
     return head + b"\r\n\r\n" + body + b"0\r\n" + trailers + b"\r\n"
 
@@ -38,10 +38,10 @@
         line if k == 0 else line.partition(b":")[0].lower() + b":" + line.partition(b":")[2]
         for k, line in enumerate(PLAIN.split(b"\r\n"))
     ).replace(b"\r\n:\r\n:", b"\r\n\r\n"),
-    "names in upper case": told(told(PLAIN, b"Req-Id", b"REQ-ID"), b"X-Metering", b"X-METERING"),
-    "no space before a value": told(PLAIN, b": ", b":"),
-    "white space on both sides of a value": told(told(PLAIN, b": ", b": \t "), b"\r\nX-", b" \t\r\nX-"),
-    "white space after the id": told(PLAIN, b"Req-Id: id-1", b"Req-Id: id-1 \t "),
+    "names in upper case": vary(vary(PLAIN, b"Req-Id", b"REQ-ID"), b"X-Metering", b"X-METERING"),
+    "no space before a value": vary(PLAIN, b": ", b":"),
+    "white space on both sides of a value": vary(vary(PLAIN, b": ", b": \t "), b"\r\nX-", b" \t\r\nX-"),
+    "white space after the id": vary(PLAIN, b"Req-Id: id-1", b"Req-Id: id-1 \t "),
     "empty lines ahead": b"\r\n\r\n" + PLAIN,
     "headers in another order": b"\r\n".join([(x := PLAIN.split(b"\r\n"))[0], *x[-3:0:-1], b"", b""]),
     "headers that nobody knows": request(X_Empty="", Req_Retry="1", Accept="*/*", X_Name="\u00e9"),
@@ -49,19 +49,19 @@
     "it says that it stays": request(Connection="Keep-Alive"),
     "a length of nothing": request(Content_Length="0"),
     "a deadline with zeros ahead": request(Req_Deadline_Ms="0002000"),
-    "metering in another order": told(PLAIN, b"units=1,spread=1,first=0", b"first=0,units=1,spread=1"),
-    "metering with spaces": told(PLAIN, b"units=1,spread=1,first=0", b"units=1, spread=1 ,first=0"),
-    "HTTP/1.0": told(PLAIN, b"HTTP/1.1", b"HTTP/1.0"),
+    "metering in another order": vary(PLAIN, b"units=1,spread=1,first=0", b"first=0,units=1,spread=1"),
+    "metering with spaces": vary(PLAIN, b"units=1,spread=1,first=0", b"units=1, spread=1 ,first=0"),
+    "HTTP/1.0": vary(PLAIN, b"HTTP/1.1", b"HTTP/1.0"),
 }  # fmt: skip
 KEPT = {
-    "plain": KEYED, "a length with zeros ahead": told(KEYED, b"Length: 9", b"Length: 009"),
-    "a length with a space behind": told(KEYED, b"Length: 9", b"Length: 9 "),
-    "the length first": told(told(KEYED, b"Content-Length: 9\r\n", b""), b"Host:", b"Content-Length: 9\r\nHost:"),
+    "plain": KEYED, "a length with zeros ahead": vary(KEYED, b"Length: 9", b"Length: 009"),
+    "a length with a space behind": vary(KEYED, b"Length: 9", b"Length: 9 "),
+    "the length first": vary(vary(KEYED, b"Content-Length: 9\r\n", b""), b"Host:", b"Content-Length: 9\r\nHost:"),
     "it waits for a word": booking(body=b'{"to": 1}', Expect="100-continue"),
     "one chunk": chunked(b'{"to": 1}'), "chunks of a byte": chunked(*(bytes([b]) for b in b'{"to": 1}')),
     "chunks with extensions": chunked(b'{"to', b'": 1}', more=b";a=b"),
     "chunks and trailers": chunked(b'{"to": 1}', trailers=b"X-Sum: 7 \r\nX-More: 8\r\n"),
-    "the coding's name in other letters": told(chunked(b'{"to": 1}'), b": chunked", b": Chunked"),
+    "the coding's name in other letters": vary(chunked(b'{"to": 1}'), b": chunked", b": Chunked"),
 }  # fmt: skip
 TARGETS = {
     "upper case": b"/api?customer=0000000000ABCDEF", "escapes": b"/api?customer=0000000000%61bcdef",
@@ -76,7 +76,7 @@
 
 
 def read(*pieces):
-    """What a connection makes of some pieces: the one request, with nothing written for it."""
+    """Returns the only request that a connection parses from some pieces, for which it writes nothing."""
     conn = front()
     asked = [x for piece in pieces for x in conn.receive(piece)]
     assert len(asked) == 1 and conn.take() == ([], False), conn.take()
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("name", TARGETS)
 def test_each_form_of_a_target_has_the_same_customer_and_is_forwarded_unchanged(name):
-    data = told(request(customer=CUSTOMER), b"/api?customer=" + CUSTOMER.encode(), TARGETS[name])
+    data = vary(request(customer=CUSTOMER), b"/api?customer=" + CUSTOMER.encode(), TARGETS[name])
     for cut in range(len(data) + 1):
         *_, partner, head, _ = read(data[:cut], data[cut:])
         assert partner.name == CUSTOMER and head.startswith(b"GET " + TARGETS[name] + b" HTTP/1.1\r\n")
@@ -112,8 +112,8 @@
 
 @pytest.mark.parametrize("first", [PLAIN, KEYED, chunked(b'{"to', b'": 1}')])
 def test_two_pipelined_requests_are_parsed_at_any_split(first):
-    """The second comes when the first is answered; its time counts from when it was whole."""
-    data = first + told(PLAIN, b"id-1", b"id-2")
+    """The second is returned when the first is answered; its deadline counts from its last byte."""
+    data = first + vary(PLAIN, b"id-1", b"id-2")
     for cut in range(len(data) + 1):
         conn = front()
         (rid, _), *others = conn.receive(data[:cut]) + conn.receive(data[cut:])
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("tail", [b"0\r\nX: ", b"0\r\n", b"3;", b""])
 def test_endless_trailers_and_chunk_sizes_are_refused_with_431(tail):
-    """A trailer's value was gathered as long as it came, 12 MB in a second, and an ingress may have 32."""
+    """A trailer's value was buffered without limit, 12 MB in a second, and an ingress may have 32 MB only."""
     conn = front()
     conn.receive(chunked().partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + tail)
     given = 0
@@ -137,7 +137,7 @@
 def test_largest_body_in_the_smallest_allowed_chunks_is_accepted():
     body = b"x" * MAX_BODY_BYTES
     pieces = [body[k : k + 9] for k in range(0, len(body), 9)]
-    data = told(chunked(*pieces), b"0\r\n\r\n", b"0\r\nX-T: 1\r\n\r\n")
+    data = vary(chunked(*pieces), b"0\r\n\r\n", b"0\r\nX-T: 1\r\n\r\n")
     assert read(*(data[k : k + 1460] for k in range(0, len(data), 1460)))[-1] == body
 
 
@@ -153,15 +153,15 @@
 def forms(body):
     whole = answer(body, more="X-Meter: 40\r\n")
     return {
-        "plain": whole, "no reason": told(whole, b"200 OK", b"200 "),
-        "not even a space": told(whole, b"200 OK", b"200"),
-        "names in lower case": told(told(whole, b"Content-Length", b"content-length"), b"X-Meter", b"x-meter"),
-        "no space before a value": told(whole, b"Length: ", b"Length:").replace(b"X-Meter: ", b"X-Meter:"),
-        "white space behind a value": told(told(whole, b"Meter: 40", b"Meter:  40 \t"), b"\r\n\r\n", b" \r\n\r\n"),
+        "plain": whole, "no reason": vary(whole, b"200 OK", b"200 "),
+        "not even a space": vary(whole, b"200 OK", b"200"),
+        "names in lower case": vary(vary(whole, b"Content-Length", b"content-length"), b"X-Meter", b"x-meter"),
+        "no space before a value": vary(whole, b"Length: ", b"Length:").replace(b"X-Meter: ", b"X-Meter:"),
+        "white space behind a value": vary(vary(whole, b"Meter: 40", b"Meter:  40 \t"), b"\r\n\r\n", b" \r\n\r\n"),
         "chunks": in_chunks(body, "X-Meter: 40\r\n", 64), "chunks of some bytes": in_chunks(body, "X-Meter: 40\r\n"),
         "interim answers ahead": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + whole,
-        "it will close": told(whole, b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"),
-        "it says that it stays": told(whole, b"\r\n\r\n", b"\r\nConnection: keep-alive\r\nKeep-Alive: 5\r\n\r\n"),
+        "it will close": vary(whole, b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"),
+        "it says that it stays": vary(whole, b"\r\n\r\n", b"\r\nConnection: keep-alive\r\nKeep-Alive: 5\r\n\r\n"),
     }  # fmt: skip
 
 
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -1,4 +1,4 @@
-"""A client that left is gone: no attempt begins for it, whatever else is on its way at that instant. Real sockets."""
+"""Tests that no attempt begins for a disconnected client, whatever else happens at that moment. Real sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def end(sock, how):
-    """Its end, by a FIN or by a reset."""
+    """Disconnects a client by a FIN or by a reset."""
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         sock.close()
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("how", ["FIN", "reset"])
 def test_no_attempt_for_a_client_that_disconnected_during_the_dial(how):
-    """The attempt stayed in the pool's queue and went out when the dial came up, a quarter of a second later."""
+    """The attempt stayed in the pool's queue and was sent when the dial succeeded, a quarter of a second later."""
 
     async def scenario(live):
         live.shell.gate.clear()
@@ -33,9 +33,7 @@
         live.shell.gate.set()
         await live.until(lambda: any(k.state == "idle" for k in live.core.pool.links.values()))
         other = await live.client()
-        await live.send(
-            other, request("other")
-        )  # goes out on that connection: what went before it would be there too
+        await live.send(other, request("other"))  # uses that connection, where an earlier attempt would show
         assert (await live.read(other))[0] == 200
         assert [("id-1" in h) for h in live.heads()] == [False] and not live.core.engine.ledger.entries
 
@@ -44,7 +42,7 @@
 
 @pytest.mark.parametrize("how", ["FIN", "reset"])
 def test_no_retry_for_a_client_whose_disconnect_is_not_read_yet(how):
-    """In one turn of the loop: the client's end is on the socket, and the attempt that was out breaks."""
+    """In one turn of the loop the client's FIN or reset is on the socket and the open attempt fails."""
 
     async def scenario(live):
         live.release.clear()
@@ -52,7 +50,7 @@
         await live.send(sock, request())
         await live.until(lambda: len(live.heads()) == 1)
         backend_conn = next(k for k, link in live.core.pool.links.items() if link.job is not None)
-        end(sock, how)  # from here on without an await: nothing is read before the reset is taken
+        end(sock, how)  # no await from here on, so that nothing is read before the attempt fails
         live.core.ended(live.shell.clock(), backend_conn)
         live.shell.carry_out()
         assert live.core.engine.counts["left"] == 1 and live.core.engine.counts["attempts"] == 1
@@ -75,13 +73,13 @@
 
 
 def test_disconnect_of_a_client_that_reads_no_answers_is_noticed():
-    """Reading was paused for it: its FIN lay behind, and the request that it had sent ahead went out."""
+    """Reading was paused for it, so that its FIN was not read and its pipelined request was sent."""
 
     async def scenario(live):
         live.body = b"x" * 60_000
         sock, client, _ = await live.slow_client()
         await live.send(sock, request("one"))
-        await live.until(lambda: client.held)  # its answer waits on this side
+        await live.until(lambda: client.held)  # its answer waits in this process
         live.shell.gate.clear()
         for link in list(live.core.pool.links):
             live.core.ended(live.shell.clock(), link)
@@ -97,7 +95,7 @@
 
 
 def test_half_closed_client_that_reads_nothing_releases_its_descriptor():
-    """Its transport waited for ever to hand over what was left: no timer ended it, and no bound counted it."""
+    """Its transport waited forever to write the rest; no timer ended it, and no limit counted it."""
 
     async def scenario(live):
         live.body = b"x" * 60_000
