--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -25,7 +25,7 @@
 }  # fmt: skip
 
 
-def again(edge, mark=b"id-1"):
+def written_attempts(edge, mark=b"id-1"):
     """Returns how many attempts of a request were written."""
     return sum(isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data and mark in o.data for o in edge.commands)
 
@@ -48,7 +48,7 @@
     assert kinds == [c.AbortConnection, c.Dial]
     backend_conn, _ = edge.complete_dial(orders)
     edge.receive(backend_conn, answer(b"good"))
-    assert edge.statuses(conn) == [200] and again(edge) == 2
+    assert edge.statuses(conn) == [200] and written_attempts(edge) == 2
 
 
 def test_bytes_on_an_idle_connection_end_it(edge):
@@ -193,11 +193,11 @@
     edge.core.advance(edge.now)
     backend_conn, _ = edge.complete_dial(edge.turn())
     assert edge.written(backend_conn).startswith(b"GET /ping HTTP/1.1\r\n")
-    told = []
-    edge.core.engine.probed = lambda *a: told.append(a[2])
+    results = []
+    edge.core.engine.probed = lambda *a: results.append(a[2])
     edge.receive(backend_conn, answer(b"", more="Srv-Load: util=0.5\r\n"))
     edge.advance_ms(400.0)
-    assert told == [i.Result.OK]
+    assert results == [i.Result.OK]
 
 
 def test_trace_line_counts_events_since_the_previous_line(edge):
@@ -231,13 +231,13 @@
     name = next(e["id"] for e in LIST["servers"] if e["addr"] == f"{dial.host}:80")
     orders = retell(edge, name, **other)
     assert edge.core.engine.counts["attempt_moot"] == 1 and dial.conn in edge.closed
-    again = next(o for o in orders if isinstance(o, c.Dial) and o.port == 80)
+    new_dial = next(o for o in orders if isinstance(o, c.Dial) and o.port == 80)
     edge.core.dialed(edge.now, dial.conn)
     edge.turn()
     assert not edge.written(dial.conn)
-    edge.core.dialed(edge.now, again.conn)
+    edge.core.dialed(edge.now, new_dial.conn)
     edge.turn()
-    edge.receive(again.conn, answer())
+    edge.receive(new_dial.conn, answer())
     assert edge.statuses(conn) == [200] and edge.core.pool.backends[name].dialing == 0
 
 
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("how", ["nothing", "a byte", "half", "all but a byte"])
-@pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
+@pytest.mark.parametrize("when", ["room", "shutdown begins", "0.7 s later"])
 def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
     """From its first byte on a request is awaited and served."""
     edge, data = Edge(max_clients=3), booking("one")
@@ -46,7 +46,7 @@
     else:
         edge.core.drain_clients(edge.now, edge.core.setup.settings)
         edge.turn()
-        if when != "told to end":
+        if when != "shutdown begins":
             edge.core.stop(edge.now)
             edge.turn()
         edge.advance_ms(10 * LINGER_MS)
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's answers, good and bad, and peers' datagrams."""
+"""Tests of valid and invalid answers of discovery, and of peers' datagrams."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("full", [True, False])
 @pytest.mark.parametrize("name", ODD)
 def test_malformed_entry_drains_only_its_own_backend(edge, name, full):
-    """The whole list was refused for it: what it told of all others did not hold, for as long as it stood there."""
+    """A malformed entry made the whole list refused, and no change applied for as long as it was listed."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
     second, third = LIST["servers"][1:]
@@ -98,7 +98,7 @@
 
 
 def test_older_list_drains_at_once_and_its_omissions_apply_after_a_second(edge):
-    """It was refused whole for 10 s; a change counts as told after 6."""
+    """The older list was refused for 10 s, while a change must apply within 6 s."""
     second, third = LIST["servers"][1:]
     older = page(3, {**FIRST, "state": "Terminating"}, {**second, "started_ms": 9_000}, full=True)
     began = edge.now
@@ -133,8 +133,7 @@
 
 
 class Agent:
-    """Discovery with its answers in the test's hand: each call goes as the script's next step says, the last of them
-    for good. Delays are the longest that still pass."""
+    """A discovery whose calls follow the given steps, of which the last repeats. Delays are the longest that pass."""
 
     def __init__(self, edge, steps):
         self.edge, self.steps, self.due, self.seen = edge, list(steps), [], len(edge.commands)
@@ -144,7 +143,7 @@
         return self.steps[0] if len(self.steps) == 1 else self.steps.pop(0)
 
     def take(self):
-        """What the ingress ordered since; a dial or a call is answered when its time comes."""
+        """Schedules the answers to new dials and calls of the ingress."""
         for order in self.edge.commands[self.seen :]:
             if isinstance(order, c.Dial) and order.port == 8500:
                 how = self.step()
@@ -162,7 +161,7 @@
         self.seen = len(self.edge.commands)
 
     def run(self, until_ms, done):
-        """Play until ``done``; how long that took."""
+        """Runs until ``done`` returns true or the time is over; returns the time taken in milliseconds."""
         began = self.edge.now
         while not done() and self.edge.now - began < until_ms:
             self.take()
@@ -185,10 +184,10 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_change_applies_in_time_after_any_single_fault(edge, trouble):
-    """Two waits of 3 s each, a dial and a pause came to 6.5 s: the drain counted as told before."""
+    """Two waits of 3 s, a dial and a delay took 6.5 s, longer than a drain may take to apply."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
-    # The watch that has just been asked falls silent now, and now the change is there.
+    # The watch falls silent right after a call, and the change happens now.
     took = Agent(edge, [trouble, "good"]).run(10_000.0, lambda: states(edge)["s-1"] == "draining")
     assert took <= MAX_CHANGE_DELAY_MS <= 5_000.0
 
@@ -196,7 +195,7 @@
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("before", [0.0, 100.0, 1_000.0, 2_300.0, 2_600.0, 3_100.0])
 def test_change_after_sighup_applies_in_time_after_any_fault(edge, trouble, before):
-    """Also where the address stays the same: only another one was asked at once."""
+    """Also if the address stays the same: only another address was called at once."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
     agent = Agent(edge, ["silent"])
@@ -208,10 +207,10 @@
 
 
 def test_returning_discovery_is_called_within_the_shortest_grace(edge):
-    """What the agent gets at its return counts at once, and a backend's grace may be a quarter of a second."""
+    """A change applies as soon as the agent has it, and a backend's grace may be a quarter of a second."""
     edge.core.dial_failed(edge.now, edge.core.list.conn)
     edge.turn()
-    for _ in range(20):  # down for long: the pause is as long as it gets
+    for _ in range(20):  # down for long: the delay is at its longest
         edge.advance_ms(RETRY_DELAY_MS[1])
         if edge.core.list.state == "dialing":
             edge.core.dial_failed(edge.now, edge.core.list.conn)
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -1,5 +1,4 @@
-"""What discovery tells at awkward moments: watches that end or fall silent, lists that leave out, reloads, the
-end."""
+"""Tests of lists at difficult moments: watches that end or fall silent, omitted backends, reloads, shutdown."""
 
 from __future__ import annotations
 
@@ -21,8 +20,8 @@
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 from tests.edge.test_discovery_watch import TROUBLES, Agent, connect_discovery, page, states
 
-RELOAD_MS = 4_000.0  # after SIGHUP a change counts as told, by the platform's page
-LAST_MS = 700.0  # after SIGTERM: nobody new any more
+RELOAD_MS = 4_000.0  # a change must apply in this time after SIGHUP, by the platform's page
+LAST_MS = 700.0  # after SIGTERM no new clients are accepted
 
 
 def listed(*names):
@@ -30,15 +29,15 @@
 
 
 def left_out(name, version=9):
-    """The whole list without one that drains."""
+    """Returns the full list without one backend."""
     return page(version, *(e for e in LIST["servers"] if e["id"] != name), full=True)
 
 
-# --- whole lists that leave out -----------------------------------------------------------------------
+# --- full lists that omit a backend -------------------------------------------------------------------
 
 
 def at_the_backend(edge, state):
-    """A connection of a backend in some state: its id, that connection, and the client's that asked."""
+    """Creates a connection to a backend in some state. Returns the backend's id, that connection and the client's."""
     conn = edge.connect()
     dial = next(o for o in edge.receive(conn, booking("one")) if isinstance(o, c.Dial) and o.port == 80)
     name = edge.core.pool.links[dial.conn].backend.id
@@ -55,7 +54,7 @@
 @pytest.mark.parametrize("how", ["first answer", "watch"])
 @pytest.mark.parametrize("state", ["dialing", "resting", "idle", "busy"])
 def test_backend_missing_from_a_full_list_gets_no_new_requests(edge, state, how, version):
-    """Also where the version is the one held: a list that leaves out is as new as one that names."""
+    """Also if the version is the current one: the omission is as new as the entries of the list."""
     source = connect_discovery(edge)
     if how == "watch":
         edge.receive(source, answer(orjson.dumps(LIST)))
@@ -63,16 +62,16 @@
     orders = edge.receive(source, left_out(name, version))
     assert name not in states(edge) and name not in edge.core.pool.listed_endpoints
     assert (link in edge.closed) is (state != "busy")
-    if state == "dialing":  # it never was sent, and goes elsewhere
+    if state == "dialing":  # it was never sent, and goes to another backend
         other, _ = edge.complete_dial([o for o in orders if isinstance(o, c.Dial)])
         edge.receive(other, answer(b"one"))
-    elif state == "busy":  # it finishes what it has, and that is all
+    elif state == "busy":  # the open request is finished, and nothing else
         edge.receive(link, answer(b"one"))
         assert link in edge.closed
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"one")
     assert name not in edge.core.pool.backends
     before = len(edge.commands)
-    for n in range(12):  # whatever comes now goes to the others
+    for n in range(12):  # new requests go to the other backends
         edge.receive(edge.connect(), request(f"r{n}"))
     hosts = {o.host for o in edge.commands[before:] if isinstance(o, c.Dial)}
     gone = listed(name)[0]["addr"].partition(":")[0]
@@ -93,7 +92,7 @@
 
 @pytest.mark.parametrize("trouble", ["good", *TROUBLES])
 def test_watch_that_ends_without_an_answer_costs_one_call(edge, trouble):
-    """The watch is reset when there is something to tell, and what is told is told by leaving out."""
+    """The watch is reset when there is a change, which is an omitted backend."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
     agent = Agent(edge, [trouble, "good"])
@@ -105,12 +104,12 @@
     assert took <= (2 if trouble != "good" else 1) * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + 3 * RETRY_DELAY_MS[0]
 
 
-# --- late silences ------------------------------------------------------------------------------------
+# --- watches that fall silent late --------------------------------------------------------------------
 
 
 class Watched(Agent):
-    """A discovery whose watch goes on as it should until it falls silent, at ``silent_at``; from then on new
-    connections alone are answered, once ``steps`` are through, with what was missed."""
+    """A discovery whose watch works until ``silent_at``. After that it answers new connections only, once ``steps``
+    are over, with the missed change."""
 
     def __init__(self, edge, steps, silent_at):
         super().__init__(edge, steps)
@@ -118,7 +117,7 @@
 
     def take(self):
         if self.edge.now >= self.silent_at:
-            if self.good:  # what was on its way never comes
+            if self.good:  # pending answers never arrive
                 self.good, self.due = False, []
             super().take()
             return
@@ -132,17 +131,17 @@
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("term_ms", [None, -2_200.0, -700.0, -1.0, 0.0, 1.0, 700.0, 2_200.0, 2_300.0])
 def test_watch_silent_after_13_s_is_detected_also_around_sigterm(edge, trouble, term_ms):
-    """The silence is one thing, the end another: an ingress that ends is told as before, since it still sends on."""
+    """An ingress that shuts down still needs changes, since it still sends requests."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
     silent_at = edge.now + 13_000.0
     agent = Watched(edge, [trouble, "good"], silent_at)
-    agent.seen = max(k for k, o in enumerate(edge.commands) if isinstance(o, c.Write))  # the watch just asked
+    agent.seen = max(k for k, o in enumerate(edge.commands) if isinstance(o, c.Write))  # the last watch call
     agent.run(13_000.0 + min(0.0, term_ms or 0.0), lambda: False)
     ends = None if term_ms is None else [silent_at + term_ms, silent_at + term_ms + LAST_MS]
     if ends and term_ms >= 0:
         agent.run(silent_at - edge.now, lambda: False)
-    assert edge.core.list.calls >= 8 and not edge.core.list.counts["silent"]  # it went on until then
+    assert edge.core.list.calls >= 8 and not edge.core.list.counts["silent"]  # the watch worked until then
     for when, what in zip(ends or [], (lambda: edge.core.drain_clients(edge.now, edge.core.setup.settings),
                                        lambda: edge.core.stop(edge.now)), strict=False):  # fmt: skip
         agent.run(max(0.0, when - edge.now), lambda: False)
@@ -157,7 +156,7 @@
 
 @pytest.mark.parametrize("state", ["dialing", "resting", "idle", "busy"])
 def test_draining_backend_keeps_draining_through_a_reload(edge, state):
-    """The whole list as it is held is put to module and pool anew: nothing of it comes back."""
+    """A reload passes the current list to module and pool again, and must not revive a draining backend."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
     name, link, conn = at_the_backend(edge, state)
@@ -191,7 +190,7 @@
 
 
 def test_omission_by_a_new_discovery_with_lower_versions_applies_in_time(edge):
-    """Its list looks older than the one held: what it lacks is held back a second later."""
+    """Its list looks older than the current one, and backends that it omits are drained a second later."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
     agent = Agent(edge, ["good"])
@@ -199,7 +198,7 @@
     edge.core.reload(edge.now, replace(edge.core.setup, discovery=("10.9.0.2", 8500)))
     edge.turn()
     took = agent.run(10_000.0, lambda: states(edge)["s-1"] == "draining")
-    # A call within the second comes too early by a moment, and the next one tells.
+    # A call just before the second is over comes too early, and the next one applies.
     assert (
         OLDER_DRAINS_ONLY_MS
         <= took
@@ -212,7 +211,7 @@
 
 
 def test_discovery_that_closes_after_each_answer_is_called_as_rarely_as_others():
-    """Each new connection began with a call that does not wait: 500 calls a second, as fast as they were answered."""
+    """Each new connection began with a call that does not wait, which made 500 calls a second."""
     edge = Edge()
     empty = {"version": 7, "full": False, "servers": []}
     calls = seen = 0
--- a/tests/edge/test_turned_away.py
+++ b/tests/edge/test_refusing_states.py
@@ -1,5 +1,6 @@
-"""States in which an ingress turns away all that it gets, each forced, and how long it lasts. The platform allows one
-ingress in ten 4 s of it on end, on quiet days. docs/endings.md has the table."""
+"""Tests of each state in which an ingress refuses all requests, and how long it lasts.
+
+On quiet days the platform allows one ingress in ten 4 s of it without a break. docs/endings.md has the table."""
 
 from __future__ import annotations
 
@@ -17,13 +18,17 @@
 from tests.edge.conftest import CLASSES, LIST, SETTINGS, Edge, answer, request
 
 ALLOWED_MS = 4_000.0
-EVERY_MS, ANSWER_MS, WITHIN = 100.0, 50.0, 1_900  # between requests; until backends answer; their deadlines
+REQUEST_INTERVAL_MS, ANSWER_DELAY_MS, WITHIN_MS = (
+    100.0,
+    50.0,
+    1_900,
+)  # between requests; until backends answer; their deadlines
 PLANS = (*SETTINGS.plans, i.Plan("capped", rate=50.0, burst=20.0, ceiling_rate=6.0, ceiling_burst=3.0))
 MADE = replace(SETTINGS, plans=PLANS)
 
 
 class Busy(Edge):
-    """Clients that ask ten times a second, and backends that answer all but what ``stuck`` names."""
+    """Clients that send ten requests a second, and backends that answer all but those named in ``stuck``."""
 
     def __init__(self, *args, **kwargs):
         self.serial, self.sent_at, self.due, self.stuck, self.plan = 0, [], [], set(), "wide"
@@ -36,17 +41,17 @@
                 self.due.append((self.now, "up", o.conn))
             elif isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data and not any(k in o.data for k in self.stuck):
                 self.sent_at.append(self.now)
-                self.due.append((self.now + ANSWER_MS, "answer", o.conn))
+                self.due.append((self.now + ANSWER_DELAY_MS, "answer", o.conn))
         return found
 
     def play(self, ms, units=1):
-        """Requests for so long; returns the longest time without an attempt in it."""
+        """Sends requests for ``ms`` milliseconds; returns the longest time without an attempt."""
         began, end = self.now, self.now + ms
         ask = self.now
         while self.now < end:
             if self.now >= ask:
                 self.ask(units)
-                ask += EVERY_MS
+                ask += REQUEST_INTERVAL_MS
             self.advance_ms(10.0)
             due, self.due = [d for d in self.due if d[0] <= self.now], [d for d in self.due if d[0] > self.now]
             for _, what, conn in due:
@@ -60,7 +65,7 @@
 
     def ask(self, units=1, rid=None):
         self.serial += 1
-        more = {"X_Metering": f"units={units},spread=1,first=0", "Req_Deadline_Ms": str(WITHIN)}
+        more = {"X_Metering": f"units={units},spread=1,first=0", "Req_Deadline_Ms": str(WITHIN_MS)}
         customer = f"{self.serial:016x}" if self.plan == "wide" else "0" * 16
         rid = rid or f"q{self.serial}"
         self.receive(self.connect(), request(rid, plan=self.plan, customer=customer, Connection="close", **more))
@@ -73,12 +78,12 @@
         self.receive(source.conn, answer(orjson.dumps({"version": version, "full": True, "servers": servers})))
 
 
-STEP_MS = EVERY_MS + 10.0  # to the next request, and the step of the play
+STEP_MS = REQUEST_INTERVAL_MS + 10.0  # until the next request, plus the step of ``play``
 
 
 @pytest.mark.parametrize("servers", [None, [], [e | {"state": "Terminating"} for e in LIST["servers"]]])
 def test_without_a_ready_server_requests_are_refused_until_the_list_has_one(servers):
-    """No list yet, an empty one, all draining: as long as the list stands so, and no longer."""
+    """No list yet, an empty list, or all backends draining: for as long as the list stays so, and no longer."""
     edge = Busy(MADE, known=None)
     if servers is not None:
         edge.list_says(7, servers)
@@ -90,15 +95,15 @@
 
 
 def test_requests_are_accepted_soon_after_an_overload():
-    """A turn of 20 s, as long as the platform lets a thread run: nothing is taken, and then within two seconds."""
+    """After a turn of 20 s, as long as the platform lets a thread run, requests are accepted within two seconds."""
     edge = Busy(MADE)
     edge.play(1_000.0)
     edge.now += 20_000.0
     edge.core.advance(edge.now)
     edge.turn()
     assert edge.core.load_shedder.pressure == 1.0
-    shut = edge.play(4_000.0)
-    assert 500.0 < shut <= 2_000.0 + STEP_MS
+    refused_ms = edge.play(4_000.0)
+    assert 500.0 < refused_ms <= 2_000.0 + STEP_MS
 
 
 def test_requests_are_refused_while_the_loop_lags_and_accepted_two_seconds_later():
@@ -122,11 +127,11 @@
 
 
 def test_only_the_customer_over_its_ceiling_is_refused():
-    """After a start a ceiling counts as spent: the first request goes when its part has filled by that much."""
+    """After a start a ceiling counts as used up: the first request is sent once the share has refilled by it."""
     edge = Busy(MADE)
     edge.plan = "capped"
     first = edge.play(2_000.0)
-    assert edge.sent_at and first <= 1_000.0 / 6.0 + STEP_MS + EVERY_MS
+    assert edge.sent_at and first <= 1_000.0 / 6.0 + STEP_MS + REQUEST_INTERVAL_MS
     edge.plan = "wide"
     assert edge.play(1_000.0) <= STEP_MS
 
@@ -137,7 +142,7 @@
     for k in range(3):
         edge.ask(rid=f"stuck{k}")
     assert edge.core.engine.ledger.is_full()
-    assert edge.play(3_000.0) <= WITHIN + STEP_MS <= ALLOWED_MS
+    assert edge.play(3_000.0) <= WITHIN_MS + STEP_MS <= ALLOWED_MS
 
 
 def test_busy_backend_connections_refuse_requests_until_one_is_free():
@@ -152,36 +157,38 @@
         edge.core.dialed(edge.now, conn)
         edge.turn()
     assert [k.state for k in edge.core.pool.links.values()] == ["busy", "busy"]
-    assert 1_000.0 < edge.play(3_000.0) <= WITHIN + STEP_MS <= ALLOWED_MS
+    assert 1_000.0 < edge.play(3_000.0) <= WITHIN_MS + STEP_MS <= ALLOWED_MS
     assert edge.core.pool.counts["no_connection"] > 0
 
 
 @pytest.mark.parametrize(("gateways", "units", "out_ms"), [(5, 3, 1_800.0), (30, 3, 400.0), (30, 9, 1_800.0)])
 def test_requests_are_refused_until_the_deficit_of_a_long_request_is_paid_back(gateways, units, out_ms):
-    """What was in flight beyond the room is paid back at the room's pace. The debt is MEMORY_MS times the mean
-    request at most, and the room never less than a start's. With three servers to five ingresses that is no time;
-    where thirty ingresses share three servers it is longer than 4 s (14.8 s after nine units): docs/endings.md."""
+    """Units in flight beyond the capacity are paid back at the rate of the capacity.
+
+    The deficit is MEMORY_MS times the mean request at most, and the capacity never less than at a start. With three
+    servers for five ingresses this takes no time; where thirty ingresses share three servers it takes longer than 4 s
+    (14.8 s after nine units), see docs/endings.md."""
     classes, sharing = CLASSES[:1], replace(MADE.sharing, largest_request=units)
     edge = Busy(replace(MADE, gateways=gateways, classes=classes, sharing=sharing))
-    room, edge.stuck = edge.policy.capacity, {b"long"}
+    capacity, edge.stuck = edge.policy.capacity, {b"long"}
     edge.ask(units=units, rid="long")
-    assert len(edge.sent_at) == 0 and edge.core.pool.links  # on its way
+    assert len(edge.sent_at) == 0 and edge.core.pool.links  # in flight
     edge.play(out_ms)
     for conn in [k.conn for k in edge.core.pool.links.values() if k.job is not None]:
         edge.receive(conn, answer())
-    least = START_UNITS_PER_S * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_SHARE
-    debt = max(0.0, -room.credit)
-    assert debt <= MEMORY_MS * room.mean_units
-    shut = edge.play(debt / least + 2_000.0)
-    assert shut <= debt / least + STEP_MS + EVERY_MS
-    # Forced: they are refused for its sake where the room is small, and not for a moment where it is not.
-    assert (shut > 1_000.0) is (gateways > 5) and (shut > ALLOWED_MS) is (units > 3)
+    min_rate = START_UNITS_PER_S * len(LIST["servers"]) / gateways * classes[0].aim_ms / 1000 * AIM_SHARE
+    deficit = max(0.0, -capacity.credit)
+    assert deficit <= MEMORY_MS * capacity.mean_units
+    refused_ms = edge.play(deficit / min_rate + 2_000.0)
+    assert refused_ms <= deficit / min_rate + STEP_MS + REQUEST_INTERVAL_MS
+    # Requests are refused for it where the capacity is small, and never where it is not.
+    assert (refused_ms > 1_000.0) is (gateways > 5) and (refused_ms > ALLOWED_MS) is (units > 3)
 
 
 def test_capacity_deficit_is_limited():
-    """However many were out for however long: what is owed is forgotten beyond that."""
+    """The deficit beyond the limit is forgotten, whatever was in flight for however long."""
     edge = Busy(replace(MADE, gateways=30, classes=CLASSES[:1]))
-    room = edge.policy.capacity
-    room.credit = -1e9
+    capacity = edge.policy.capacity
+    capacity.credit = -1e9
     edge.play(200.0)
-    assert -MEMORY_MS * room.mean_units <= room.credit < 0 and not edge.sent_at
+    assert -MEMORY_MS * capacity.mean_units <= capacity.credit < 0 and not edge.sent_at
