--- a/tests/edge/test_event_orders.py
+++ b/tests/edge/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Under all orders of what may happen nothing owed is lost; and each property can fail: a planted fault breaks it."""
+"""Tests that no answer is lost under any order of events, and that each injected fault is detected."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from rushweir.state import Partitions
 from tests.edge.event_orders import EventOrders
 
-QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
-SURE = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True, database=None,
-                suppress_health_check=QUIET)  # fmt: skip
-HUNT = settings(SURE, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
+SUPPRESSED = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
+CHECK_SETTINGS = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True, database=None,
+                suppress_health_check=SUPPRESSED)  # fmt: skip
+HUNT_SETTINGS = settings(CHECK_SETTINGS, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
 
 
 def test_every_request_is_answered_under_any_order_of_events():
-    run_state_machine_as_test(EventOrders, settings=SURE)
+    run_state_machine_as_test(EventOrders, settings=CHECK_SETTINGS)
 
 
 def two_attempts(monkeypatch):
-    """An attempt given up leaves its connection, and its request, at the backend for a while."""
+    """A cancelled attempt keeps its connection, and its request stays at the backend, for a second."""
     real = Pool._give_up
 
     def give_up(self, job, result):
@@ -65,7 +65,7 @@
     monkeypatch.setattr(Policy, "retry_or_finish", again)
 
 
-def deaf_to_drains(monkeypatch):
+def ignores_drains(monkeypatch):
     real = Pool.notified
     ready = i.State.READY
     monkeypatch.setattr(Pool, "notified", lambda self, now, servers: real(
@@ -74,25 +74,25 @@
 
 
 def keeps_old_connections(monkeypatch):
-    """What is open to a backend before its new start goes on carrying its requests."""
+    """Connections to a backend from before its restart carry requests afterwards."""
     monkeypatch.setattr(Pool, "_drop_unsent", lambda self, b: None)
     monkeypatch.setattr(Endpoint, "__eq__", lambda a, b: a.host == b.host)
 
 
-def no_rest(monkeypatch):
+def no_cooldown(monkeypatch):
     monkeypatch.setattr("rushweir.edge.backends.COOLDOWN_MS", 0.0)
 
 
-def forgets_halves(monkeypatch):
+def ignores_incomplete_requests(monkeypatch):
     monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.open_request_id is not None))
 
 
-def sends_for_nobody(monkeypatch):
+def sends_for_disconnected_clients(monkeypatch):
     monkeypatch.setattr(Pool, "_held_back", lambda self, attempt: False)
     monkeypatch.setattr(Engine, "wanted", lambda self, attempt: True)
 
 
-def trusts_the_loop(monkeypatch):
+def ignores_unread_disconnects(monkeypatch):
     real = Engine._send
 
     def send(self, action):
@@ -102,15 +102,15 @@
     monkeypatch.setattr(Engine, "_send", send)
 
 
-def keeps_room(monkeypatch):
+def keeps_capacity(monkeypatch):
     monkeypatch.setattr(Partitions, "release", lambda self, grant: None)
 
 
-def keeps_places(monkeypatch):
-    monkeypatch.setattr(Quota, "settle", lambda self, t, more, over: None)
+def keeps_open_attempts(monkeypatch):
+    monkeypatch.setattr(Quota, "settle", lambda self, t, more, over_quota: None)
 
 
-def answers_nobody(monkeypatch):
+def drops_refusals(monkeypatch):
     real = Clients.answer
     monkeypatch.setattr(Clients, "answer", lambda self, a: real(self, a) if a.kind != "refused" else None)
 
@@ -126,29 +126,31 @@
     monkeypatch.setattr(ClientConnection, "answer", answer)
 
 
-def keeps_descriptors(monkeypatch):
+def keeps_idle_connections(monkeypatch):
     monkeypatch.setattr(Pool, "_close_expired", lambda self, _: None)
 
 
-PLANTED = {
-    two_attempts: "two attempts out|carries another", repeats_all: "repeated|refused as harmless",
-    repeats_late: "repeated past its window", deaf_to_drains: "told to drain", keeps_old_connections: "older than",
-    no_rest: "served with", forgets_halves: "0 answers", sends_for_nobody: "after its client left",
-    trusts_the_loop: "after its client left", keeps_room: "room held", keeps_places: "places held",
-    answers_nobody: "0 answers|an answer to nothing", 
+INJECTED_FAULTS = {
+    two_attempts: "two open attempts|carries another", repeats_all: "repeated|refused as harmless",
+    repeats_late: "repeated past its window", ignores_drains: "which drains", keeps_old_connections: "older than",
+    no_cooldown: "served with", ignores_incomplete_requests: "0 answers",
+    sends_for_disconnected_clients: "after its client left",
+    ignores_unread_disconnects: "after its client left", keeps_capacity: "capacity held",
+    keeps_open_attempts: "open attempts held",
+    drops_refusals: "0 answers|an answer to nothing", 
     answers_twice: "an answer to nothing|2 answers|after its answer",
-    keeps_descriptors: "connections to backends held",
+    keeps_idle_connections: "connections to backends held",
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("plant", PLANTED, ids=lambda p: p.__name__)
-def test_injected_fault_is_detected(monkeypatch, plant):
-    plant(monkeypatch)
+@pytest.mark.parametrize("inject", INJECTED_FAULTS, ids=lambda inject: inject.__name__)
+def test_injected_fault_is_detected(monkeypatch, inject):
+    inject(monkeypatch)
     with pytest.raises(AssertionError) as found:
-        run_state_machine_as_test(EventOrders, settings=HUNT)
-    # A course that ends in the midst of a step leaves things held, and says that last: what ended it stands behind.
-    chain, e = [], found.value
-    while e is not None:
-        chain.append(str(e))
-        e = e.__context__
-    assert any(re.search(PLANTED[plant], text) for text in chain), chain
+        run_state_machine_as_test(EventOrders, settings=HUNT_SETTINGS)
+    # A run that ends within a step leaves state behind, and its last error says that: the cause is in its context.
+    chain, error = [], found.value
+    while error is not None:
+        chain.append(str(error))
+        error = error.__context__
+    assert any(re.search(INJECTED_FAULTS[inject], text) for text in chain), chain
