--- a/rushweir/rollout/control.py
+++ b/rushweir/rollout/control.py
@@ -73,7 +73,7 @@
         # The highest known position of each process, reported by it or by another; and the same as on disk.
         self.known_positions = list(state.known_positions) if len(state.known_positions) == count else [0] * count
         self.known_positions[me], self.persisted_positions = state.position, list(state.known_positions)
-        self.stale_peers: set[int] = set()  # whose disk is an older copy, until a later connection
+        self.stale_peers: set[int] = set()  # whose disk is an older copy, until one connects with a newer disk
         self.outdated = state.newer_position > 0  # this process's own disk is an older copy
         self.election = Election(self, state.term, state.voted_for)
         self.compaction = LogCompaction(self)
--- a/rushweir/rollout/control_channel.py
+++ b/rushweir/rollout/control_channel.py
@@ -86,7 +86,7 @@
                 f"a control process of {params.get('count')!r:.20}, version {params.get('version')!r:.20}"
             )
         if type(peer) is not int or not 0 <= peer < self.count or peer == self.me:
-            raise ChannelError(f"control process {peer!r:.20} speaks to {self.me} of {self.count}")
+            raise ChannelError(f"control process {peer!r:.20} connects to {self.me} of {self.count}")
         try:
             peer_nonce = bytes.fromhex(nonce) if isinstance(nonce, str) else b""
         except ValueError:
