--- a/tests/lanes.py
+++ b/tests/lanes.py
@@ -1,16 +1,16 @@
-"""Which tests run side by side where pytest is given several workers (``-n 4``, as ``make test`` does).
+"""Which tests run in parallel where pytest has several workers (``-n 4``, as ``make test`` does).
 
-Tests of processes and sockets wait for each other's silences and ends, and some of them for a time: each lane of them
-is played by one worker, a test after another, as without workers. Every other file is a lane of its own. So at most
-two tests with processes are under way at once, beside two that only compute.
+Tests of processes and sockets depend on timeouts and on how fast processes end. One worker runs each lane of them,
+one test after another, as without workers; every other file is a lane of its own. So at most two tests with processes
+run at once, beside two that only compute.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-# In the order played: what bears a busy machine best comes first, while all workers have work; what looks at silences
-# and aims comes last, when the files that only compute are done.
+# In the order in which they run: tests that tolerate a busy machine come first, while all workers have work. Those
+# that check timeouts and aims come last, when the files that only compute are done.
 LANES = {
     "fleets": (
         "tests/lab/scale/test_short.py",
@@ -48,25 +48,26 @@
     ),
 }
 LANE_OF = {file: lane for lane, files in LANES.items() for file in files}
-RANK = {file: n for n, file in enumerate(LANE_OF)}
+RANK = {file: rank for rank, file in enumerate(LANE_OF)}
 
 
 def file_of(nodeid: str) -> str:
+    """The file of a test."""
     return nodeid.partition("::")[0]
 
 
 def rank(nodeid: str) -> int:
-    """Where a test stands in the order: lanes first, for they are the longest; all else after them as it was."""
+    """A test's place in the order: lanes first, since they take longest, then the others in their own order."""
     return RANK.get(file_of(nodeid), len(RANK))
 
 
 def scheduler(config: Any, log: Any) -> Any:
-    """Gives workers their work by lanes, longest first. The plugin is loaded only where there are several workers."""
+    """A scheduler that gives each lane to one worker, in order. Its plugin is loaded only with several workers."""
     from xdist.scheduler import LoadScopeScheduling
 
     class Lanes(LoadScopeScheduling):
         def _split_scope(self, nodeid: str) -> str:
             return LANE_OF.get(file_of(nodeid), file_of(nodeid))
 
-    config.option.loadscopereorder = False  # lanes as they are ordered, not by their numbers of tests
+    config.option.loadscopereorder = False  # in the order of the lanes, not by their numbers of tests
     return Lanes(config, log)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from rushweir import interface as i
+from rushweir import interface
 
 
 def test_example_runs_as_written_and_sends_the_request():
@@ -13,5 +13,5 @@
     (code,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     names: dict[str, object] = {}
     exec(code, names)
-    sends = [a for a in names["actions"] if isinstance(a, i.Send)]
-    assert [(a.id, a.server) for a in sends] == [("id-1", "10.0.0.7:80")]
+    sends = [action for action in names["actions"] if isinstance(action, interface.Send)]
+    assert [(send.id, send.server) for send in sends] == [("id-1", "10.0.0.7:80")]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The script that writes variants of a given site, on a site of the test's own."""
+"""The script that writes variants of a site, on a site of the test's own."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     return run
 
 
-def test_a_whole_site_is_written_with_the_files_beside_it(write, tmp_path):
+def test_complete_site_is_written_with_its_accompanying_files(write, tmp_path):
     text = 'name = "mine"\n"class.1.effect" = "unsafe"\n"net.zones" = ["x"]\n'
     text += '"class" = [{name = "new", window_ms = 9}]\n'
     assert write(text) == 0
@@ -57,7 +57,7 @@
     assert (tmp_path / "out" / "mine" / "wire.json").read_text() == "wire.json"
 
 
-@pytest.mark.parametrize(("text", "said"), [
+@pytest.mark.parametrize(("text", "message"), [
     ('"net.rooms" = ["x"]', "net.rooms: the site has no 'rooms' there"),
     ('"class.2.name" = "x"', "class.2.name: the site has no '2' there"),
     ('"class.0.window_ms" = 5', "class.0.window_ms: the site has no 'window_ms' there"),
@@ -66,18 +66,18 @@
     ('"allow.attempts" = "four"', "allow.attempts: int stands there, not str"),
     ('class = [{title = "x"}]', "class.0.title: no table of the site's list has it"),
 ])  # fmt: skip
-def test_what_the_site_does_not_have_is_refused_by_name(write, tmp_path, capsys, text, said):
+def test_unknown_key_or_wrong_type_is_reported_by_name(write, tmp_path, capsys, text, message):
     assert write(text) == 2
-    assert said in capsys.readouterr().err and not (tmp_path / "out").exists()
+    assert message in capsys.readouterr().err and not (tmp_path / "out").exists()
 
 
 @pytest.mark.parametrize("name", ["harbour", "clinic"])
-def test_the_variants_here_read_and_name_their_base(name):
+def test_variants_in_the_repository_parse_and_name_their_base(name):
     page = tomllib.loads((SCRIPT.parent / f"{name}.toml").read_text())
     assert page["base"].endswith(".toml") and page["set"]["name"]
 
 
-def test_without_what_is_given_it_ends_with_one_line(tmp_path):
+def test_missing_base_site_ends_with_one_line(tmp_path):
     done = subprocess.run(
         [sys.executable, str(SCRIPT), str(SCRIPT.parent / "clinic.toml"), "--given", str(tmp_path)],
         capture_output=True, text=True, cwd=tmp_path, check=False,
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter on lines written by hand."""
+"""The simulator's adapter on lines written by hand."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 
 
 def run(*lines):
-    replies, complaints = [], []
-    raw = [x if isinstance(x, bytes) else json.dumps(x).encode() for x in lines]
-    code = serve(raw, replies.append, complaints.append)
-    return code, [[json.loads(x) for x in r.splitlines()] for r in replies], complaints
+    """Serve lines; returns the exit code, the replies of each batch and the errors."""
+    replies, errors = [], []
+    raw = [line if isinstance(line, bytes) else json.dumps(line).encode() for line in lines]
+    code = serve(raw, replies.append, errors.append)
+    return code, [[json.loads(line) for line in reply.splitlines()] for reply in replies], errors
 
 
 def test_empty_batch_is_answered():
     assert run({"op": "CLOCK", "atTimeMs": 1.5}, END) == (0, [[{"op": "END"}]], [])
 
 
-def test_request_is_tried_and_outcome_closes_it():
+def test_request_is_sent_and_its_outcome_ends_it():
     done = {"op": "RESOLVED", "who": 0, "tid": "t1", "backend": "h:1", "stateCode": "GOOD", "settled": True}
     code, replies, _ = run({"op": "CLOCK", "atTimeMs": 1}, BEGIN, SHEET, UPDATE, REQ, END, done, END)
     tries = [m for m in replies[0] if m["op"] == "TRY"]
@@ -41,20 +42,20 @@
     assert replies[1] == [{"op": "END"}]
 
 
-def test_sheets_resolve_in_event_order():
+def test_server_lists_apply_in_event_order():
     other = {**SHEET, "membersList": [{"backend": "h:2", "health": "SERVING"}]}
     _, replies, _ = run({"op": "CLOCK", "atTimeMs": 1}, BEGIN, SHEET, UPDATE, other, REQ, END)
     assert [m["backend"] for m in replies[0] if m["op"] == "TRY"] == ["h:1"]
 
 
-def test_down_forgets_and_begin_starts_empty_in_one_batch():
+def test_down_and_begin_in_one_batch_start_without_a_server_list():
     down = {"op": "DOWN", "who": 0}
     _, replies, _ = run({"op": "CLOCK", "atTimeMs": 1}, BEGIN, SHEET, UPDATE, down, BEGIN, REQ, END)
     assert [m["op"] for m in replies[0] if "tid" in m] == ["DECLINE"]
 
 
 @pytest.mark.parametrize(
-    ("line", "word"),
+    ("line", "expected"),
     [
         (b"{nonsense", "line 2"),
         ({"op": "WHAT", "who": 0}, "WHAT"),
@@ -63,13 +64,13 @@
         ({k: v for k, v in REQ.items() if k != "notAfterMs"}, "notAfterMs"),
     ],
 )
-def test_malformed_line_is_named_and_ends_the_run(line, word):
-    code, _, complaints = run({"op": "CLOCK", "atTimeMs": 1}, line, END)
+def test_malformed_line_is_reported_and_ends_the_run(line, expected):
+    code, _, errors = run({"op": "CLOCK", "atTimeMs": 1}, line, END)
     assert code == 2
-    assert word in complaints[0]
+    assert expected in errors[0]
 
 
-def test_module_exception_becomes_a_fault():
+def test_exception_of_the_policy_is_reported_as_a_fault():
     bad = {**BEGIN, "options": {**OPTIONS, "classes": []}}
     code, replies, _ = run({"op": "CLOCK", "atTimeMs": 1}, bad, END)
     assert code == 0
