--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -8,9 +8,9 @@
 
 from rushweir import interface as i
 from rushweir.discovery.source import Update
+from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
 from rushweir.edge.http import MAX_BODY_BYTES, MAX_FRAMING_BYTES, AnswerReader, Malformed
-from rushweir.edge.members import Members
 from rushweir.ingress import commands as c
 from tests.edge.conftest import LIST, SETTINGS, answer, booking, request
 
@@ -82,7 +82,7 @@
     assert len(asked) == 1 and conn.take() == ([], False), conn.take()
     ask = asked[0][1]
     p = ask.payload
-    return asked[0][0], ask.cls, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
+    return asked[0][0], ask.class_name, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
 
 
 @pytest.mark.parametrize("name", SAFE)
@@ -128,7 +128,7 @@
     conn = front()
     conn.receive(chunked().partition(b"\r\n\r\n")[0] + b"\r\n\r\n" + tail)
     given = 0
-    while not conn.end and given < 10 * MAX_FRAMING_BYTES:
+    while not conn.ended and given < 10 * MAX_FRAMING_BYTES:
         conn.receive(b"0" * 4096)
         given += 4096
     assert given <= MAX_FRAMING_BYTES + 4096 and b"HTTP/1.1 431 " in conn.take()[0][0]
@@ -179,10 +179,10 @@
 
 @pytest.mark.parametrize(("status", "more"), [("503 No", "Srv-Declined: 1 \t\r\n"), ("504", "srv-declined:1\r\n")])
 def test_backend_refusal_is_recognized_in_each_form(edge, status, more):
-    _, up = edge.sent()
+    _, backend_conn = edge.send_request()
     data = answer(b"", status, more)
     for k in range(len(data)):
-        edge.say(up, data[k : k + 1])
+        edge.receive(backend_conn, data[k : k + 1])
     assert edge.core.engine.counts["attempt_full"] == 1
 
 
@@ -194,13 +194,13 @@
 def test_each_form_of_a_list_parses_like_the_plain_one_at_any_split(name, body):
     data, got = forms(body)[name], []
     for cut in range(len(data) + 1):
-        members = Members(("10.9.0.1", 8500), 1, {}, lambda _: 1, lambda *_: None)
-        members.start(0.0)
-        members.dialed(1.0, 1)
-        members.received(2.0, 1, data[:cut])
-        members.received(3.0, 1, data[cut:])
-        assert [type(u) for u in members.updates] == [Update] and not members.log_events, cut
-        got.append((members.updates[0], tuple(members.servers.values())))
+        watch = DiscoveryWatch(("10.9.0.1", 8500), 1, {}, lambda _: 1, lambda *_: None)
+        watch.start(0.0)
+        watch.dialed(1.0, 1)
+        watch.received(2.0, 1, data[:cut])
+        watch.received(3.0, 1, data[cut:])
+        assert [type(u) for u in watch.updates] == [Update] and not watch.log_events, cut
+        got.append((watch.updates[0], tuple(watch.servers.values())))
     assert {u.scope for u, _ in got} == {i.Scope.FULL} and {u.version for u, _ in got} == {7}
     assert all([s.address for s in servers] == ["s-1", "s-2", "s-3"] for _, servers in got)
 
