--- a/rushweir/daemon/operations.py
+++ b/rushweir/daemon/operations.py
@@ -14,7 +14,7 @@
 from rushweir.config.show import as_rows
 from rushweir.daemon.control import OperatorError
 from rushweir.ingress.core import Core
-from rushweir.watch.usage import MOST_PAGE
+from rushweir.watch.usage import MAX_PAGE_ROWS
 
 MADE_MS = 900.0  # rows of nodes are used again for so long, unless the list changed
 GROUNDS = ("itself", "its zone", "its kind")  # whose failures set a node aside, as the policy looks at them
@@ -112,7 +112,7 @@
         """Dispatch nodes whose address, zone, kind or state holds a text, a page of them. ``order``: address, out
         (most attempts out first), failures (most first) or slowness."""
         wanted = _text("search", search).casefold()
-        first, count = _whole("first", first, 0, 10**9), _whole("count", count, 1, MOST_PAGE)
+        first, count = _whole("first", first, 0, 10**9), _whole("count", count, 1, MAX_PAGE_ROWS)
         keys: dict[str, Callable[[dict], Any]] = {
             "address": lambda r: r["address"], "out": lambda r: -r["out"],
             "slowness": lambda r: -(r["slowness"] or 0),
@@ -159,13 +159,13 @@
 
     def partners(self, search: str = "", first: int = 0, count: int = 50) -> dict[str, Any]:
         """Partners whose name holds a text, a page of them, with what they used and what is left."""
-        first, count = _whole("first", first, 0, 10**9), _whole("count", count, 1, MOST_PAGE)
+        first, count = _whole("first", first, 0, 10**9), _whole("count", count, 1, MAX_PAGE_ROWS)
         total, rows = self.core.telemetry.usage.page(_text("search", search), first, count)
         return {"total": total, "first": first, "rows": [self._quota(r) for r in rows]}
 
     def heaviest(self, count: int = 10) -> list[dict[str, Any]]:
         """Who asked most in the last minutes, by the sketch."""
-        return [self._quota(r) for r in self.core.telemetry.usage.lately(_whole("count", count, 1, MOST_PAGE))]
+        return [self._quota(r) for r in self.core.telemetry.usage.lately(_whole("count", count, 1, MAX_PAGE_ROWS))]
 
     def _quota(self, row: dict[str, Any]) -> dict[str, Any]:
         """What is left of a partner's quota as this ingress knows it; nothing of one that was idle."""
@@ -192,7 +192,7 @@
 
     def refusals(self) -> dict[str, Any]:
         """Refusals by reason, since the start and in the last ten minutes."""
-        self.core.telemetry.history.turn(self.clock())
+        self.core.telemetry.history.close_slots(self.clock())
         lately: dict[str, int] = {}
         for slot in list(self.core.telemetry.history.slots)[-60:]:
             for why, n in slot["reasons"].items():
@@ -202,14 +202,14 @@
 
     def history(self) -> list[dict[str, Any]]:
         """The last hour in slots of ten seconds, oldest first."""
-        self.core.telemetry.history.turn(self.clock())
+        self.core.telemetry.history.close_slots(self.clock())
         return list(self.core.telemetry.history.slots)
 
     def events(self, count: int = 100, after: int = 0, search: str = "") -> list[dict[str, Any]]:
         """Events, newest first: those with a number above ``after`` and with a text in cause or fields."""
         wanted, out = _text("search", search).casefold(), []
         for e in reversed(self.core.telemetry.events):
-            if e["number"] <= after or len(out) >= _whole("count", count, 1, MOST_PAGE):
+            if e["number"] <= after or len(out) >= _whole("count", count, 1, MAX_PAGE_ROWS):
                 break
             if wanted in f"{e['cause']} {e['fields']}".casefold():
                 out.append(e)
@@ -225,7 +225,7 @@
     def requests(self, count: int = 50, wrong: bool = True) -> list[dict[str, Any]]:
         """Courses that are kept, newest first: of those that went wrong, or of the sample."""
         return [
-            c.as_row() for c in self.core.telemetry.traces.last(_whole("count", count, 1, MOST_PAGE), bool(wrong))
+            c.as_row() for c in self.core.telemetry.traces.last(_whole("count", count, 1, MAX_PAGE_ROWS), bool(wrong))
         ]
 
     def peers(self) -> list[dict[str, Any]]:
--- a/rushweir/daemon/traces.py
+++ b/rushweir/daemon/traces.py
@@ -23,7 +23,7 @@
 
     def course(self, course: RequestTrace) -> None:
         span = self.tracer.start_span(
-            "request", kind=SpanKind.SERVER, start_time=_ns(course.taken_ms),
+            "request", kind=SpanKind.SERVER, start_time=_ns(course.accepted_ms),
             attributes={
                 "rushweir.request": course.request_id, "rushweir.class": course.class_name,
                 "rushweir.partner": course.partner,
@@ -34,7 +34,7 @@
             span.set_status(StatusCode.ERROR, course.reason)
         inside = trace.set_span_in_context(span)
         for a in course.attempts:
-            began = course.taken_ms + a["after_ms"]
+            began = course.accepted_ms + a["after_ms"]
             attempt = self.tracer.start_span(
                 "attempt", inside, kind=SpanKind.CLIENT, start_time=_ns(began),
                 attributes={f"rushweir.{name}": a[name] for name in ("number", "node", "result")},
--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -111,7 +111,7 @@
         self.load_shedder.record_delay(self.now - planned)
         self.engine.margin_ms = self.setup.margin_ms + self.load_shedder.delay_ms
         history = self.telemetry.history
-        history.worst_delay = max(history.worst_delay, self.load_shedder.delay_ms)
+        history.max_delay_ms = max(history.max_delay_ms, self.load_shedder.delay_ms)
         if (level := self.load_shedder.level) != self.level:
             self.level, was = level, self.level
             fields = {"level": level, "delay_ms": round(self.load_shedder.delay_ms)}
@@ -245,9 +245,9 @@
         self.engine.apply_settings(now, settings, setup.margin_ms)
         self.load_shedder.adopt(setup.late_ms, setup.max_late_ms)
         self._value_classes()
-        self.telemetry.usage.know(setup.partners())
-        self.telemetry.know_classes({k.name: k.aim_ms for k in setup.settings.classes})
-        self.telemetry.traces.adopt(setup.trace_share, setup.max_traces)
+        self.telemetry.usage.set_partners(setup.partners())
+        self.telemetry.set_classes({k.name: k.aim_ms for k in setup.settings.classes})
+        self.telemetry.traces.apply_settings(setup.trace_share, setup.max_traces)
         setup.adopt(self)
         self.nodes.publish(Update(i.Scope.FULL, -1, tuple(self.nodes.listed.values())))
         self._run()
--- a/rushweir/ingress/known_nodes.py
+++ b/rushweir/ingress/known_nodes.py
@@ -58,7 +58,7 @@
         self.core.engine.members(self.core.now, update.scope, servers)
         self.effective = apply(self.effective, Update(update.scope, update.version, servers))
         self.core.pool.notified(self.core.now, {a: s.state for a, s in self.effective.items()})
-        self.core.telemetry.know_nodes(self.effective)
+        self.core.telemetry.set_nodes(self.effective)
 
     def _keep(self) -> None:
         if not self.core.draining and self.core.setup.keep_list:
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -106,9 +106,9 @@
         core.engine.apply_settings(now, settings, self.margin_ms)
         core.load_shedder.adopt(self.late_ms, self.max_late_ms)
         core._value_classes()
-        core.telemetry.usage.know(self.partners())
-        core.telemetry.know_classes({k.name: k.aim_ms for k in self.settings.classes})
-        core.telemetry.traces.adopt(self.trace_share, self.max_traces)
+        core.telemetry.usage.set_partners(self.partners())
+        core.telemetry.set_classes({k.name: k.aim_ms for k in self.settings.classes})
+        core.telemetry.traces.apply_settings(self.trace_share, self.max_traces)
         self.adopt(core)
         core._run()
 
--- a/rushweir/watch/__init__.py
+++ b/rushweir/watch/__init__.py
@@ -1,1 +1,1 @@
-"""What an ingress lets be seen: usage, the last hour, courses of requests, events. No I/O, no clock."""
+"""Telemetry of an ingress: usage, the last hour, traces of requests, events. No I/O, no clock."""
--- a/rushweir/watch/request_traces.py
+++ b/rushweir/watch/request_traces.py
@@ -1,8 +1,8 @@
-"""The courses of requests that are kept: those that failed or came late, and a sample of the rest. No I/O, no clock.
+"""Traces of requests that failed or were answered late, and of a sample of the others. No I/O, no clock.
 
-A course is what became of one request: when it was taken, each attempt, the answer. Which are kept is decided at
-the end, when it is known how it went; the sample is by the request's id, so that all who see the id choose alike.
-Two rings, so that a storm of failures leaves the sample, and the sample the failures.
+A trace tells what happened to one request: when it was accepted, each attempt, the answer. Whether it is stored is
+decided at the end of the request. The sample is taken by the hash of the request's id, so that all who see the id
+choose the same requests. Problems and the sample have a ring each, so that neither displaces the other.
 """
 
 from __future__ import annotations
@@ -17,57 +17,61 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What became of one request; times in milliseconds of the ingress's clock."""
+    """What happened to one request. Times are milliseconds of the ingress's clock."""
 
     request_id: str
     client_id: Any
     conn: int
     class_name: str
     partner: str
-    taken_ms: float
+    accepted_ms: float
     ended_ms: float
     kind: str
     reason: str
     attempts: tuple[dict[str, Any], ...]
 
     def as_row(self) -> dict[str, Any]:
+        """The trace as operators see it."""
         return {
             "request": self.request_id, "client_id": self.client_id, "connection": self.conn,
-            "class": self.class_name, "partner": self.partner, "at": self.taken_ms,
-            "took_ms": round(self.ended_ms - self.taken_ms, 2), "kind": self.kind, "why": self.reason,
+            "class": self.class_name, "partner": self.partner, "at": self.accepted_ms,
+            "took_ms": round(self.ended_ms - self.accepted_ms, 2), "kind": self.kind, "why": self.reason,
             "attempts": list(self.attempts),
         }  # fmt: skip
 
 
 class RequestTraces:
-    """At most ``keep`` courses, half of them of requests that went wrong."""
+    """At most ``max_traces`` traces, half of them of requests with a problem."""
 
-    def __init__(self, sample: float, keep: int) -> None:
+    def __init__(self, sample_share: float, max_traces: int) -> None:
         self.rings: tuple[OrderedDict[str, RequestTrace], ...] = (OrderedDict(), OrderedDict())
-        self.adopt(sample, keep)
+        self.apply_settings(sample_share, max_traces)
 
-    def adopt(self, sample: float, keep: int) -> None:
-        self.bar, self.most = int(sample * 2**32), max(1, keep // 2)
+    def apply_settings(self, sample_share: float, max_traces: int) -> None:
+        """Apply other bounds to the traces that are stored and to later ones."""
+        self.sampled_below, self.ring_size = int(sample_share * 2**32), max(1, max_traces // 2)
         for ring in self.rings:
-            while len(ring) > self.most:
+            while len(ring) > self.ring_size:
                 ring.popitem(last=False)
 
-    def wants(self, request_id: str, kind: str, late: bool) -> int | None:
-        """The ring that a request belongs to: 0 where it went wrong, 1 by sample, None if it is not kept."""
+    def ring_of(self, request_id: str, kind: str, late: bool) -> int | None:
+        """The ring that stores a request: 0 for problems, 1 for the sample, None if it is not stored."""
         if late or kind == AnswerKind.FAILED:
             return 0
-        return 1 if crc32(request_id.encode()) < self.bar else None
+        return 1 if crc32(request_id.encode()) < self.sampled_below else None
 
-    def keep(self, ring: int, course: RequestTrace) -> None:
-        held = self.rings[ring]
-        held[course.request_id] = course
-        if len(held) > self.most:
-            held.popitem(last=False)
+    def add(self, ring: int, trace: RequestTrace) -> None:
+        """Store a trace; the oldest of a full ring is dropped."""
+        traces = self.rings[ring]
+        traces[trace.request_id] = trace
+        if len(traces) > self.ring_size:
+            traces.popitem(last=False)
 
     def find(self, request_id: str) -> RequestTrace | None:
+        """The stored trace of a request."""
         return self.rings[0].get(request_id) or self.rings[1].get(request_id)
 
-    def last(self, count: int, wrong: bool = True) -> list[RequestTrace]:
-        """The newest first."""
-        ring = self.rings[0 if wrong else 1]
+    def last(self, count: int, problems: bool = True) -> list[RequestTrace]:
+        """The newest traces of problems, or of the sample, newest first."""
+        ring = self.rings[0 if problems else 1]
         return [ring[k] for k in list(reversed(ring))[:count]]
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -146,7 +146,7 @@
         if k % 7:
             watch.history.answered(k * 10_000.0, AnswerKind.SERVED, "", 20.0 + k)
             watch.history.answered(k * 10_000.0, AnswerKind.REFUSED, EVIL, 0.0)
-    watch.history.turn(400_000.0)
+    watch.history.close_slots(400_000.0)
     return list(watch.history.slots)
 
 
--- a/tests/daemon/test_parts.py
+++ b/tests/daemon/test_parts.py
@@ -137,7 +137,7 @@
     )
     made.engine.members(0.0, i.Scope.FULL, servers)
     made.nodes.effective = {s.address: s for s in servers}
-    made.telemetry.know_nodes(made.nodes.effective)
+    made.telemetry.set_nodes(made.nodes.effective)
     made.telemetry.nodes["10.0.0.7:80"].results.update(ok=5, timeout=9)
     ops = Operations(made, lambda: 1000.0)
     assert ops.nodes(search="SLOW")["total"] == 25
--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -149,7 +149,7 @@
 def test_a_row_of_use_that_is_known_keeps_its_counts():
     usage = Usage([("a", "p"), ("b", "p")])
     usage.count(0.0, "a", "served", 3.0)
-    usage.know([("a", "q"), ("c", "p")])
+    usage.set_partners([("a", "q"), ("c", "p")])
     assert usage.row("a") == {
         "name": "a",
         "plan": "q",
@@ -161,5 +161,5 @@
     }
     with pytest.raises(KeyError):
         usage.row("b")
-    usage.know([("b", "p")])
+    usage.set_partners([("b", "p")])
     assert (usage.row("b")["served"], len(usage.plans)) == (0, 2)
