--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -243,7 +243,7 @@
         self.setup = setup
         settings = setup.settings if self.fleet is None else self.fleet.among(setup.settings)
         self.engine.apply_settings(now, settings, setup.margin_ms)
-        self.load_shedder.adopt(setup.late_ms, setup.max_late_ms)
+        self.load_shedder.apply_settings(setup.late_ms, setup.max_late_ms)
         self._value_classes()
         self.telemetry.usage.set_partners(setup.partners())
         self.telemetry.set_classes({k.name: k.aim_ms for k in setup.settings.classes})
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -104,7 +104,7 @@
         core.setup = self
         settings = self.settings if core.fleet is None else core.fleet.among(self.settings)
         core.engine.apply_settings(now, settings, self.margin_ms)
-        core.load_shedder.adopt(self.late_ms, self.max_late_ms)
+        core.load_shedder.apply_settings(self.late_ms, self.max_late_ms)
         core._value_classes()
         core.telemetry.usage.set_partners(self.partners())
         core.telemetry.set_classes({k.name: k.aim_ms for k in self.settings.classes})
--- a/rushweir/overload/__init__.py
+++ b/rushweir/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What an ingress does when its own process is short of CPU."""
+"""Load shedding of an ingress whose own process is short of CPU."""
