--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -6,23 +6,28 @@
 
 import pytest
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backend_links import PoolSettings
 from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.setup import IDLE_MS, Setup
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.core import Core
 from rushweir.policy import Policy
 
 CLASSES = (
-    i.RequestClass("position", 800.0, 3000.0, effect=i.Effect.SAFE),
-    i.RequestClass("booking", 1200.0, 3000.0, 5.0, 0.0, i.Effect.KEYED, i.Group.ZONE, window_ms=6000.0),
+    interface.RequestClass("position", 800.0, 3000.0, effect=interface.Effect.SAFE),
+    interface.RequestClass(
+        "booking", 1200.0, 3000.0, 5.0, 0.0, interface.Effect.KEYED, interface.Group.ZONE, window_ms=6000.0
+    ),
 )
-SETTINGS = i.Settings(
+SETTINGS = interface.Settings(
     gateway=0, gateways=1, zone="a", classes=CLASSES,
-    plans=(i.Plan("wide", rate=1000.0, burst=1000.0), i.Plan("tight", rate=0.1, burst=1.0, over_cost=0.5)),
-    rules=i.Rules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 1500.0),
-    limits=i.Limits(max_attempts=4, cancel=True, retry_after=True, max_retry_after_ms=500.0),
+    plans=(
+        interface.Plan("wide", rate=1000.0, burst=1000.0),
+        interface.Plan("tight", rate=0.1, burst=1.0, over_cost=0.5),
+    ),
+    rules=interface.Rules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 1500.0),
+    limits=interface.Limits(max_attempts=4, cancel=True, retry_after=True, max_retry_after_ms=500.0),
 )  # fmt: skip
 LIST = {
     "version": 7, "full": True,
@@ -73,12 +78,15 @@
         """Takes the core's commands as a shell would, without a network, and returns them."""
         found = []
         while self.core.commands:
-            order = self.core.commands.popleft()
-            found.append(order)
-            if isinstance(order, c.AbortConnection | c.CloseConnection) and order.conn not in self.closed:
-                self.closed.add(order.conn)
-                if isinstance(order, c.AbortConnection):
-                    self.core.ended(self.now, order.conn)
+            command = self.core.commands.popleft()
+            found.append(command)
+            if (
+                isinstance(command, commands.AbortConnection | commands.CloseConnection)
+                and command.conn not in self.closed
+            ):
+                self.closed.add(command.conn)
+                if isinstance(command, commands.AbortConnection):
+                    self.core.ended(self.now, command.conn)
         self.commands += found
         return found
 
@@ -103,23 +111,27 @@
         return self.turn()
 
     def written(self, conn):
-        return b"".join(o.data for o in self.commands if isinstance(o, c.Write) and o.conn == conn)
+        return b"".join(o.data for o in self.commands if isinstance(o, commands.Write) and o.conn == conn)
 
-    def complete_dial(self, orders):
+    def complete_dial(self, issued):
         """Completes the first dial to a backend among some commands; returns its connection and the next commands."""
-        dial = next(o for o in orders if isinstance(o, c.Dial) and o.port == 80)
+        dial = next(o for o in issued if isinstance(o, commands.Dial) and o.port == 80)
         self.core.dialed(self.now, dial.conn)
         return dial.conn, self.turn()
 
     def send_request(self, data=None, conn=None):
         """Sends a client's request and lets its attempt be written. Returns both connections."""
         conn = self.connect() if conn is None else conn
-        orders = self.receive(conn, data or request())
-        if not any(isinstance(o, c.Dial) or (isinstance(o, c.Write) and o.conn != conn) for o in orders):
-            orders = self.advance_ms(COOLDOWN_MS)  # it waits for a connection that cools down
-        backend_conn = next((o.conn for o in orders if isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data), None)
+        issued = self.receive(conn, data or request())
+        if not any(
+            isinstance(o, commands.Dial) or (isinstance(o, commands.Write) and o.conn != conn) for o in issued
+        ):
+            issued = self.advance_ms(COOLDOWN_MS)  # it waits for a connection that cools down
+        backend_conn = next(
+            (o.conn for o in issued if isinstance(o, commands.Write) and b"Req-Deadline-Ms" in o.data), None
+        )
         if backend_conn is None:
-            backend_conn, _ = self.complete_dial(orders)
+            backend_conn, _ = self.complete_dial(issued)
         return conn, backend_conn
 
     def statuses(self, conn):
--- a/tests/edge/event_orders.py
+++ b/tests/edge/event_orders.py
@@ -8,7 +8,7 @@
 from hypothesis import seed, stateful
 from hypothesis import strategies as st
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backend_links import PoolSettings
 from rushweir.edge.setup import Setup
 from tests.edge.conftest import Edge, answer, request
@@ -51,8 +51,8 @@
 
     # --- helpers
 
-    def observe(self, orders):
-        self.model.observe(orders)
+    def observe(self, issued):
+        self.model.observe(issued)
 
     def advance_ms(self, ms):
         """Advances the time; dials that take too long fail, as in the shell."""
@@ -101,8 +101,8 @@
         if cls not in known or plan not in {p.name for p in self.edge.core.setup.settings.plans}:
             return
         k = known[cls]
-        more = {} if k.effect is i.Effect.SAFE else {"method": "POST", "body": b"{}"}
-        if k.effect is i.Effect.KEYED:
+        more = {} if k.effect is interface.Effect.SAFE else {"method": "POST", "body": b"{}"}
+        if k.effect is interface.Effect.KEYED:
             more["Idempotency_Key"] = f"key-{request_id}"
         data = request(request_id, cls, plan, Req_Deadline_Ms="1900", **more)
         if half:
--- a/tests/edge/event_settings.py
+++ b/tests/edge/event_settings.py
@@ -2,20 +2,25 @@
 
 from __future__ import annotations
 
-from rushweir import interface as i
+from rushweir import interface
 from tests.edge.conftest import CLASSES, SETTINGS
 
-UNSAFE = i.RequestClass("pay", 800.0, 2000.0, 3.0, effect=i.Effect.UNSAFE)
-SHORT = i.RequestClass("hold", 900.0, 2500.0, 2.0, effect=i.Effect.KEYED, window_ms=300.0)
+UNSAFE = interface.RequestClass("pay", 800.0, 2000.0, 3.0, effect=interface.Effect.UNSAFE)
+SHORT = interface.RequestClass("hold", 900.0, 2500.0, 2.0, effect=interface.Effect.KEYED, window_ms=300.0)
 PLANS = (
-    i.Plan("wide", rate=1000.0, burst=1000.0), i.Plan("tight", rate=2.0, burst=2.0, over_cost=0.5),
-    i.Plan("places", max_in_flight=2), i.Plan("capped", rate=50.0, burst=20.0, ceiling_rate=60.0, ceiling_burst=30.0),
+    interface.Plan("wide", rate=1000.0, burst=1000.0), interface.Plan("tight", rate=2.0, burst=2.0, over_cost=0.5),
+    interface.Plan("places", max_in_flight=2),
+    interface.Plan("capped", rate=50.0, burst=20.0, ceiling_rate=60.0, ceiling_burst=30.0),
 )  # fmt: skip
-MADE = i.Settings(
+MADE = interface.Settings(
     gateway=0, gateways=1, zone="a", classes=(*CLASSES, UNSAFE, SHORT), plans=PLANS, rules=SETTINGS.rules,
-    limits=i.Limits(max_attempts=4, cancel=True, retry_after=True, max_retry_after_ms=500.0, dial_timeout_ms=250.0),
+    limits=interface.Limits(
+        max_attempts=4, cancel=True, retry_after=True, max_retry_after_ms=500.0, dial_timeout_ms=250.0,
+    ),
 )  # fmt: skip
-OTHER = i.Settings(
-    gateway=0, gateways=1, zone="b", classes=(UNSAFE, i.RequestClass("position", 500.0, 1500.0, effect=i.Effect.KEYED,
-    window_ms=900.0)), plans=PLANS[:1], rules=SETTINGS.rules, limits=MADE.limits,
+OTHER = interface.Settings(
+    gateway=0, gateways=1, zone="b", classes=(
+        UNSAFE, interface.RequestClass("position", 500.0, 1500.0, effect=interface.Effect.KEYED, window_ms=900.0),
+    ),
+    plans=PLANS[:1], rules=SETTINGS.rules, limits=MADE.limits,
 )  # fmt: skip
--- a/tests/edge/live.py
+++ b/tests/edge/live.py
@@ -26,9 +26,9 @@
         self.gate.set()
         self.lingering = []
 
-    async def _connect(self, order):
+    async def _connect(self, command):
         await self.gate.wait()
-        await super()._connect(order)
+        await super()._connect(command)
 
     def linger(self, *args):
         self.lingering.append(args)
--- a/tests/edge/request_model.py
+++ b/tests/edge/request_model.py
@@ -7,8 +7,8 @@
 import re
 from dataclasses import dataclass, field
 
-from rushweir import interface as i
-from rushweir.ingress import commands as c
+from rushweir import interface
+from rushweir.ingress import commands
 
 
 @dataclass
@@ -17,7 +17,7 @@
 
     request_id: str
     conn: int  # its client connection
-    effect: i.Effect
+    effect: interface.Effect
     window_ms: float
     disconnected_ms: float | None = None
     answers: int = 0
@@ -56,17 +56,17 @@
             if not self.requests[request_id].answers:
                 self.requests[request_id].disconnected_ms = self.edge.now
 
-    def observe(self, commands):
-        for command in commands:
+    def observe(self, issued):
+        for command in issued:
             match command:
-                case c.Dial() if command.port == 80:
+                case commands.Dial() if command.port == 80:
                     self.dials[command.conn] = command.host, self.starts.get(command.host, 0)
                     self.dial_deadlines[command.conn] = self.edge.now + command.timeout_ms
-                case c.Write() if b"Req-Deadline-Ms" in command.data:
+                case commands.Write() if b"Req-Deadline-Ms" in command.data:
                     self._attempt(command)
-                case c.Write() if command.conn in self.by_conn:
+                case commands.Write() if command.conn in self.by_conn:
                     self._answers(command)
-                case c.AbortConnection() | c.CloseConnection():
+                case commands.AbortConnection() | commands.CloseConnection():
                     self.connection_ended(command.conn)
 
     def _attempt(self, command):
@@ -80,10 +80,10 @@
         assert start == self.starts.get(host, 0), f"{request_id}: on a connection older than its backend"
         if request.ran_ms is not None:
             assert (
-                request.effect is not i.Effect.UNSAFE
+                request.effect is not interface.Effect.UNSAFE
             ), f"{request_id}: an unsafe request repeated after it may have run"
             assert (
-                request.effect is i.Effect.SAFE or self.edge.now < request.ran_ms + request.window_ms
+                request.effect is interface.Effect.SAFE or self.edge.now < request.ran_ms + request.window_ms
             ), f"{request_id}: repeated past its window"
         request.written_ms = self.edge.now
         request.open_on.add(command.conn)
@@ -103,7 +103,7 @@
                 assert body == f"for {request_id}", f"{request_id}: served with {body!r}"
             elif status in (429, 503) and request.ran_ms is not None:
                 assert (
-                    request.effect is not i.Effect.UNSAFE
+                    request.effect is not interface.Effect.UNSAFE
                 ), f"{request_id}: refused as harmless after it may have run"
 
     def attempt_ended(self, conn, ran):
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -5,9 +5,9 @@
 import orjson
 import pytest
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backends import COOLDOWN_MS
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 
 AFTER = {
@@ -27,7 +27,9 @@
 
 def written_attempts(edge, mark=b"id-1"):
     """Returns how many attempts of a request were written."""
-    return sum(isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data and mark in o.data for o in edge.commands)
+    return sum(
+        isinstance(o, commands.Write) and b"Req-Deadline-Ms" in o.data and mark in o.data for o in edge.commands
+    )
 
 
 @pytest.mark.parametrize("name", AFTER)
@@ -41,12 +43,12 @@
 @pytest.mark.parametrize("name", SPOILT)
 def test_malformed_answer_is_not_forwarded_and_its_connection_ends(edge, name):
     conn, backend_conn = edge.send_request()
-    orders = edge.receive(backend_conn, SPOILT[name])
+    issued = edge.receive(backend_conn, SPOILT[name])
     assert backend_conn in edge.closed and not edge.written(conn)
     # The class is safe to repeat: the next attempt is sent after the connection of the first was cut.
-    kinds = [type(o) for o in orders if isinstance(o, c.AbortConnection | c.Dial)]
-    assert kinds == [c.AbortConnection, c.Dial]
-    backend_conn, _ = edge.complete_dial(orders)
+    kinds = [type(o) for o in issued if isinstance(o, commands.AbortConnection | commands.Dial)]
+    assert kinds == [commands.AbortConnection, commands.Dial]
+    backend_conn, _ = edge.complete_dial(issued)
     edge.receive(backend_conn, answer(b"good"))
     assert edge.statuses(conn) == [200] and written_attempts(edge) == 2
 
@@ -85,9 +87,9 @@
 
 def test_failed_dial_is_retried_at_another_backend(edge):
     conn = edge.connect()
-    dial = next(o for o in edge.receive(conn, request()) if isinstance(o, c.Dial))
+    dial = next(o for o in edge.receive(conn, request()) if isinstance(o, commands.Dial))
     edge.core.dial_failed(edge.now, dial.conn)
-    next_dial = next(o for o in edge.turn() if isinstance(o, c.Dial))
+    next_dial = next(o for o in edge.turn() if isinstance(o, commands.Dial))
     assert next_dial.host != dial.host
 
 
@@ -114,7 +116,9 @@
     edge.receive(backend_conn, answer())
     link = edge.core.pool.links[backend_conn]
     link.idle_since -= 13_000.0
-    edge.core.pool.send(edge.now, c.Attempt("x", 0, link.backend.id, edge.now, edge.now + 500, None, "position"))
+    edge.core.pool.send(
+        edge.now, commands.Attempt("x", 0, link.backend.id, edge.now, edge.now + 500, None, "position")
+    )
     assert link.state == "gone"
 
 
@@ -141,9 +145,9 @@
 
 def test_attempt_waiting_for_a_draining_backend_is_never_sent(edge):
     conn = edge.connect()
-    dial = next(o for o in edge.receive(conn, request()) if isinstance(o, c.Dial))
-    orders = change(edge, 8, **{dial.host[-1]: "Terminating"})
-    other = [o for o in orders if isinstance(o, c.Dial)]
+    dial = next(o for o in edge.receive(conn, request()) if isinstance(o, commands.Dial))
+    issued = change(edge, 8, **{dial.host[-1]: "Terminating"})
+    other = [o for o in issued if isinstance(o, commands.Dial)]
     assert edge.core.engine.counts["attempt_moot"] == 1 and other[0].host != dial.host
     edge.core.dialed(edge.now, dial.conn)
     assert not edge.written(dial.conn)
@@ -197,7 +201,7 @@
     edge.core.engine.probed = lambda *a: results.append(a[2])
     edge.receive(backend_conn, answer(b"", more="Srv-Load: util=0.5\r\n"))
     edge.advance_ms(400.0)
-    assert results == [i.Result.OK]
+    assert results == [interface.Result.OK]
 
 
 def test_trace_line_counts_events_since_the_previous_line(edge):
@@ -227,11 +231,11 @@
 def test_attempt_waiting_for_a_moved_backend_is_decided_again(edge, other):
     """Its dial led to the former address of the backend, and carried the request there once it succeeded."""
     conn = edge.connect()
-    dial = next(o for o in edge.receive(conn, booking()) if isinstance(o, c.Dial) and o.port == 80)
+    dial = next(o for o in edge.receive(conn, booking()) if isinstance(o, commands.Dial) and o.port == 80)
     name = next(e["id"] for e in LIST["servers"] if e["addr"] == f"{dial.host}:80")
-    orders = retell(edge, name, **other)
+    issued = retell(edge, name, **other)
     assert edge.core.engine.counts["attempt_moot"] == 1 and dial.conn in edge.closed
-    new_dial = next(o for o in orders if isinstance(o, c.Dial) and o.port == 80)
+    new_dial = next(o for o in issued if isinstance(o, commands.Dial) and o.port == 80)
     edge.core.dialed(edge.now, dial.conn)
     edge.turn()
     assert not edge.written(dial.conn)
@@ -261,12 +265,12 @@
     assert not [
         o
         for o in edge.commands
-        if isinstance(o, c.Write) and o.conn == backend_conn and b"id: one" not in o.data.lower()
+        if isinstance(o, commands.Write) and o.conn == backend_conn and b"id: one" not in o.data.lower()
     ]
     edge.advance_ms(10.0)
     edge.receive(backend_conn, answer(b"for one"))
     assert backend_conn in edge.closed and edge.statuses(conn) == [200]
-    assert sum(b"for one" in o.data for o in edge.commands if isinstance(o, c.Write)) == 1
+    assert sum(b"for one" in o.data for o in edge.commands if isinstance(o, commands.Write)) == 1
 
 
 def test_connection_after_its_cooldown_serves_a_request_waiting_for_a_dial():
@@ -276,8 +280,8 @@
     _, backend_conn = edge.send_request(request("one"))
     edge.receive(backend_conn, answer())
     edge.receive(other := edge.connect(), request("two"))
-    orders = edge.advance_ms(60.0)
-    assert any(isinstance(o, c.Write) and o.conn == backend_conn and b"Req-Id: two" in o.data for o in orders)
+    issued = edge.advance_ms(60.0)
+    assert any(isinstance(o, commands.Write) and o.conn == backend_conn and b"Req-Id: two" in o.data for o in issued)
     edge.receive(backend_conn, answer())
     assert edge.statuses(other) == [200]
 
@@ -289,7 +293,7 @@
     edge.policy.capacity.partition(1, edge.now)
     for n in range(12):
         edge.receive(edge.connect(), request(f"r{n}"))
-    dials = [o.conn for o in edge.commands if isinstance(o, c.Dial) and o.port == 80]
+    dials = [o.conn for o in edge.commands if isinstance(o, commands.Dial) and o.port == 80]
     assert len(dials) > 5
-    orders = change(edge, 8, **{"1": "Terminating"})
-    assert [o.conn for o in orders if isinstance(o, c.AbortConnection)] == sorted(dials)
+    issued = change(edge, 8, **{"1": "Terminating"})
+    assert [o.conn for o in issued if isinstance(o, commands.AbortConnection)] == sorted(dials)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -10,7 +10,7 @@
 
 from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.front import Shared
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import SETTINGS, Edge, answer, booking, request
 
 
@@ -69,13 +69,13 @@
 @pytest.mark.parametrize("name", UNREADABLE)
 def test_malformed_request_gets_one_error_and_the_connection_ends(edge, name):
     conn = edge.connect()
-    orders = edge.receive(conn, UNREADABLE[name])
+    issued = edge.receive(conn, UNREADABLE[name])
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
     assert b"Connection: close" in edge.written(conn) and conn in edge.closed
     # The error reaches a client that still sends: only writing ends here, and the connection is cut after more bytes.
-    assert not any(isinstance(o, c.AbortConnection) for o in orders)
+    assert not any(isinstance(o, commands.AbortConnection) for o in issued)
     assert not edge.core.engine.ledger.entries
-    assert any(isinstance(o, c.AbortConnection) for _ in range(6) for o in edge.receive(conn, b"z" * 60_000))
+    assert any(isinstance(o, commands.AbortConnection) for _ in range(6) for o in edge.receive(conn, b"z" * 60_000))
 
 
 @given(st.binary(max_size=300), st.integers(0, 250))
@@ -95,11 +95,11 @@
     conn = edge.connect()
     at = 0
     for end in [*sorted(cuts), len(data)]:
-        orders = edge.receive(conn, data[at : max(at, end)]) if end > at else []
+        issued = edge.receive(conn, data[at : max(at, end)]) if end > at else []
         at = max(at, end)
-        if any(isinstance(o, c.Dial) for o in orders):
+        if any(isinstance(o, commands.Dial) for o in issued):
             break
-    backend_conn, _ = edge.complete_dial(orders)
+    backend_conn, _ = edge.complete_dial(issued)
     assert edge.written(backend_conn).endswith(b"\r\n\r\n" + b"x" * 300)
 
 
@@ -114,7 +114,7 @@
     conn, backend_conn = edge.send_request(request("one") + request("two"))
     edge.receive(backend_conn, answer(b"1"))
     edge.advance_ms(COOLDOWN_MS)  # of the connection to the backend
-    second = [o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data]
+    second = [o for o in edge.commands if isinstance(o, commands.Write) and b"Req-Id: two" in o.data]
     edge.receive(second[0].conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and edge.written(conn).endswith(b"2")
 
@@ -252,7 +252,7 @@
     edge.turn()
     edge.receive(backend_conn, answer(b"1"))
     edge.advance_ms(COOLDOWN_MS)
-    second = next(o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data)
+    second = next(o for o in edge.commands if isinstance(o, commands.Write) and b"Req-Id: two" in o.data)
     edge.receive(second.conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and conn in edge.closed
     assert edge.written(conn).count(b"Connection: close") == 1
@@ -264,5 +264,5 @@
     sharing = replace(SETTINGS, gateways=2, sharing=replace(SETTINGS.sharing, peers=True))
     edge = Edge(sharing, peers=(a, b))
     edge.core.reload(edge.now, replace(edge.core.setup, peers=(a, new)))
-    assert c.SetPeerAddresses({0: a, 1: new}) in edge.turn()
+    assert commands.SetPeerAddresses({0: a, 1: new}) in edge.turn()
     assert edge.core.peers.unpack(0.0, b"x", b) is None and edge.core.peers.unpack(0.0, b"x", new) == (1, "x")
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -14,7 +14,7 @@
 
 from rushweir.edge.front import MIN_IDLE_MS
 from rushweir.edge.service import ACCEPTING_S
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.clients import LINGER_MS
 from tests.edge.conftest import Edge, answer, booking, request
 from tests.edge.live import run_scenario
@@ -27,7 +27,11 @@
 
 
 def ended_without_a_word(edge, conn):
-    ends = [o for o in edge.commands if isinstance(o, c.AbortConnection | c.CloseConnection) and o.conn == conn]
+    ends = [
+        o
+        for o in edge.commands
+        if isinstance(o, commands.AbortConnection | commands.CloseConnection) and o.conn == conn
+    ]
     return bool(ends) and not edge.written(conn)
 
 
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -17,7 +17,7 @@
     WATCH_WAIT_MS,
 )
 from rushweir.edge.peers import Peers
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer
 
 
@@ -28,7 +28,7 @@
 
 
 def calls(edge, conn):
-    return [o.data.split(b" ")[1] for o in edge.commands if isinstance(o, c.Write) and o.conn == conn]
+    return [o.data.split(b" ")[1] for o in edge.commands if isinstance(o, commands.Write) and o.conn == conn]
 
 
 def page(version, *entries, full=False):
@@ -144,19 +144,19 @@
 
     def take(self):
         """Schedules the answers to new dials and calls of the ingress."""
-        for order in self.edge.commands[self.seen :]:
-            if isinstance(order, c.Dial) and order.port == 8500:
+        for command in self.edge.commands[self.seen :]:
+            if isinstance(command, commands.Dial) and command.port == 8500:
                 how = self.step()
                 if how == "dial refused":
-                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS, self.edge.core.dial_failed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS, self.edge.core.dial_failed, command.conn))
                 else:
-                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS - 1, self.edge.core.dialed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS - 1, self.edge.core.dialed, command.conn))
                     self.how = how
-            elif isinstance(order, c.Write) and b"GET /catalog" in order.data:
+            elif isinstance(command, commands.Write) and b"GET /catalog" in command.data:
                 part = {"half": self.page[:70], "good": self.page, "garbage": answer(b"{")}.get(self.how)
                 if part is not None:
                     self.due.append(
-                        (self.edge.now + ANSWER_TIMEOUT_MS - 1, self.edge.core.received, order.conn, part)
+                        (self.edge.now + ANSWER_TIMEOUT_MS - 1, self.edge.core.received, command.conn, part)
                     )
         self.seen = len(self.edge.commands)
 
--- a/tests/edge/test_event_orders.py
+++ b/tests/edge/test_event_orders.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backend_links import Endpoint, Link
 from rushweir.edge.backends import Pool
 from rushweir.edge.front import ClientConnection
@@ -67,7 +67,7 @@
 
 def ignores_drains(monkeypatch):
     real = Pool.notified
-    ready = i.State.READY
+    ready = interface.State.READY
     monkeypatch.setattr(Pool, "notified", lambda self, now, servers: real(
         self, now, dict.fromkeys([*servers, *(n for n in self.backends if n in self.listed_endpoints)], ready)
     ))  # fmt: skip
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -6,12 +6,12 @@
 import orjson
 import pytest
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.discovery.source import Update
 from rushweir.edge.discovery_watch import DiscoveryWatch
 from rushweir.edge.front import ClientConnection, Shared
 from rushweir.edge.http import MAX_BODY_BYTES, MAX_FRAMING_BYTES, AnswerReader, Malformed
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import LIST, SETTINGS, answer, booking, request
 
 PLAIN, KEYED = request(), booking(body=b'{"to": 1}')
@@ -118,7 +118,7 @@
         conn = front()
         (rid, _), *others = conn.receive(data[:cut]) + conn.receive(data[cut:])
         assert rid == b"id-1" and not others and len(conn.queue) == 1, cut
-        conn.answer(c.Answer(1, rid, c.AnswerKind.SERVED, b"1", "", 0.0))
+        conn.answer(commands.Answer(1, rid, commands.AnswerKind.SERVED, b"1", "", 0.0))
         assert [k for k, _ in conn.receive(b"")] == [b"id-2"]
 
 
@@ -201,7 +201,7 @@
         watch.received(3.0, 1, data[cut:])
         assert [type(u) for u in watch.updates] == [Update] and not watch.log_events, cut
         got.append((watch.updates[0], tuple(watch.servers.values())))
-    assert {u.scope for u, _ in got} == {i.Scope.FULL} and {u.version for u, _ in got} == {7}
+    assert {u.scope for u, _ in got} == {interface.Scope.FULL} and {u.version for u, _ in got} == {7}
     assert all([s.address for s in servers] == ["s-1", "s-2", "s-3"] for _, servers in got)
 
 
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -12,7 +12,7 @@
 import pytest
 
 from rushweir.edge.backends import COOLDOWN_MS
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.engine import ATTEMPT_END_MARGIN_MS
 from tests.edge.conftest import LIST, SETTINGS, Edge, answer, booking, request
 
@@ -43,18 +43,22 @@
         self.arrived_ms[rid] = self.now
         return conn, self.receive(conn, request(rid, Req_Deadline_Ms=str(WITHIN_MS), **more))
 
-    def orders(self, kind):
+    def commands_of(self, kind):
         return [(at, o) for at, o in zip(self.times, self.commands, strict=True) if isinstance(o, kind)]
 
     def dials(self):
         """Returns the dials to backends that are still pending."""
         links = self.core.pool.links
-        return [k for k in (o.conn for _, o in self.orders(c.Dial)) if k in links and links[k].state == "dialing"]
+        return [
+            k
+            for k in (o.conn for _, o in self.commands_of(commands.Dial))
+            if k in links and links[k].state == "dialing"
+        ]
 
     def deadlines_sent(self, rid):
         """Returns, for each attempt of a request, the time left when it was written and the time that it sent."""
         found = []
-        for at, o in self.orders(c.Write):
+        for at, o in self.commands_of(commands.Write):
             if f"Req-Id: {rid}\r\n".encode() in o.data and b"Req-Deadline-Ms" in o.data:
                 left_ms = self.arrived_ms[rid] + WITHIN_MS - at
                 found.append((left_ms, int(re.search(rb"Req-Deadline-Ms: (\d+)", o.data)[1])))
@@ -292,8 +296,10 @@
     edge = make_edge(play.__name__)
     play(edge)
     edge.advance_ms(4_000.0)
-    clients = {o.conn for _, o in edge.orders(c.Write) if o.conn not in edge.core.upstream_handlers} - {0}
-    given = [(at, o.conn) for at, o in edge.orders(c.Write) for _ in re.findall(rb"HTTP/1\.1 \d{3} ", o.data)]
+    clients = {o.conn for _, o in edge.commands_of(commands.Write) if o.conn not in edge.core.upstream_handlers} - {0}
+    given = [
+        (at, o.conn) for at, o in edge.commands_of(commands.Write) for _ in re.findall(rb"HTTP/1\.1 \d{3} ", o.data)
+    ]
     assert len(given) == len(edge.arrived_ms) and clients
     assert max(at for at, _ in given) <= min(edge.arrived_ms.values()) + WITHIN_MS
     assert not edge.core.engine.ledger.unanswered
@@ -360,7 +366,7 @@
     edge.receive(conn, booking("one") if keyed else request("one"))
     if out:
         edge.connect_backend()
-    before = sum(b"Req-Id: one" in o.data for _, o in edge.orders(c.Write))
+    before = sum(b"Req-Id: one" in o.data for _, o in edge.commands_of(commands.Write))
     assert before == out
     if seen == "read":
         edge.core.ended(edge.now, conn)
@@ -374,5 +380,5 @@
         for dial in edge.dials():
             edge.connect_backend(dial)
         edge.advance_ms(100.0)
-    assert sum(b"Req-Id: one" in o.data for _, o in edge.orders(c.Write)) == before
+    assert sum(b"Req-Id: one" in o.data for _, o in edge.commands_of(commands.Write)) == before
     assert not edge.core.engine.ledger.unanswered and not (seen == "read" and edge.statuses(conn))
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -16,7 +16,7 @@
     RETRY_DELAY_MS,
     WATCH_WAIT_MS,
 )
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 from tests.edge.test_discovery_watch import TROUBLES, Agent, connect_discovery, page, states
 
@@ -39,7 +39,7 @@
 def at_the_backend(edge, state):
     """Creates a connection to a backend in some state. Returns the backend's id, that connection and the client's."""
     conn = edge.connect()
-    dial = next(o for o in edge.receive(conn, booking("one")) if isinstance(o, c.Dial) and o.port == 80)
+    dial = next(o for o in edge.receive(conn, booking("one")) if isinstance(o, commands.Dial) and o.port == 80)
     name = edge.core.pool.links[dial.conn].backend.id
     if state != "dialing":
         edge.core.dialed(edge.now, dial.conn)
@@ -59,11 +59,11 @@
     if how == "watch":
         edge.receive(source, answer(orjson.dumps(LIST)))
     name, link, conn = at_the_backend(edge, state)
-    orders = edge.receive(source, left_out(name, version))
+    issued = edge.receive(source, left_out(name, version))
     assert name not in states(edge) and name not in edge.core.pool.listed_endpoints
     assert (link in edge.closed) is (state != "busy")
     if state == "dialing":  # it was never sent, and goes to another backend
-        other, _ = edge.complete_dial([o for o in orders if isinstance(o, c.Dial)])
+        other, _ = edge.complete_dial([o for o in issued if isinstance(o, commands.Dial)])
         edge.receive(other, answer(b"one"))
     elif state == "busy":  # the open request is finished, and nothing else
         edge.receive(link, answer(b"one"))
@@ -73,7 +73,7 @@
     before = len(edge.commands)
     for n in range(12):  # new requests go to the other backends
         edge.receive(edge.connect(), request(f"r{n}"))
-    hosts = {o.host for o in edge.commands[before:] if isinstance(o, c.Dial)}
+    hosts = {o.host for o in edge.commands[before:] if isinstance(o, commands.Dial)}
     gone = listed(name)[0]["addr"].partition(":")[0]
     assert hosts and gone not in hosts and not [o for o in edge.commands[before:] if getattr(o, "conn", 0) == link]
 
@@ -121,10 +121,10 @@
                 self.good, self.due = False, []
             super().take()
             return
-        for order in self.edge.commands[self.seen :]:
-            if isinstance(order, c.Write) and b"GET /catalog" in order.data:
-                assert b"timeout_ms=1500" in order.data
-                self.due.append((self.edge.now + WATCH_WAIT_MS, self.edge.core.received, order.conn, page(7)))
+        for command in self.edge.commands[self.seen :]:
+            if isinstance(command, commands.Write) and b"GET /catalog" in command.data:
+                assert b"timeout_ms=1500" in command.data
+                self.due.append((self.edge.now + WATCH_WAIT_MS, self.edge.core.received, command.conn, page(7)))
         self.seen = len(self.edge.commands)
 
 
@@ -136,7 +136,7 @@
     edge.receive(source, answer(orjson.dumps(LIST)))
     silent_at = edge.now + 13_000.0
     agent = Watched(edge, [trouble, "good"], silent_at)
-    agent.seen = max(k for k, o in enumerate(edge.commands) if isinstance(o, c.Write))  # the last watch call
+    agent.seen = max(k for k, o in enumerate(edge.commands) if isinstance(o, commands.Write))  # the last watch call
     agent.run(13_000.0 + min(0.0, term_ms or 0.0), lambda: False)
     ends = None if term_ms is None else [silent_at + term_ms, silent_at + term_ms + LAST_MS]
     if ends and term_ms >= 0:
@@ -216,15 +216,15 @@
     empty = {"version": 7, "full": False, "servers": []}
     calls = seen = 0
     for _ in range(200):
-        for order in edge.commands[seen:]:
-            if isinstance(order, c.Dial) and order.port == 8500:
-                edge.core.dialed(edge.now, order.conn)
-        seen, orders = len(edge.commands), edge.turn()
-        for order in orders:
-            if isinstance(order, c.Write) and b"GET /catalog" in order.data:
+        for command in edge.commands[seen:]:
+            if isinstance(command, commands.Dial) and command.port == 8500:
+                edge.core.dialed(edge.now, command.conn)
+        seen, issued = len(edge.commands), edge.turn()
+        for command in issued:
+            if isinstance(command, commands.Write) and b"GET /catalog" in command.data:
                 calls += 1
-                if b"timeout_ms=1500" not in order.data:
+                if b"timeout_ms=1500" not in command.data:
                     page = LIST if calls == 1 else empty
-                    edge.receive(order.conn, answer(orjson.dumps(page), more="Connection: close\r\n"))
+                    edge.receive(command.conn, answer(orjson.dumps(page), more="Connection: close\r\n"))
         edge.advance_ms(1.0)
     assert calls == 2 and edge.core.list.state == "asking" and edge.core.list.counts["silent"] == 0
--- a/tests/edge/test_refusing_states.py
+++ b/tests/edge/test_refusing_states.py
@@ -9,9 +9,9 @@
 import orjson
 import pytest
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.edge.backend_links import PoolSettings
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.overload.decisions import SAMPLE_INTERVAL_MS
 from rushweir.policy.in_flight_capacity import AIM_SHARE, START_UNITS_PER_S
 from rushweir.policy.time_constants import MEMORY_MS
@@ -23,7 +23,7 @@
     50.0,
     1_900,
 )  # between requests; until backends answer; their deadlines
-PLANS = (*SETTINGS.plans, i.Plan("capped", rate=50.0, burst=20.0, ceiling_rate=6.0, ceiling_burst=3.0))
+PLANS = (*SETTINGS.plans, interface.Plan("capped", rate=50.0, burst=20.0, ceiling_rate=6.0, ceiling_burst=3.0))
 MADE = replace(SETTINGS, plans=PLANS)
 
 
@@ -37,9 +37,13 @@
     def turn(self):
         found = super().turn()
         for o in found:
-            if isinstance(o, c.Dial) and o.port == 80:
+            if isinstance(o, commands.Dial) and o.port == 80:
                 self.due.append((self.now, "up", o.conn))
-            elif isinstance(o, c.Write) and b"Req-Deadline-Ms" in o.data and not any(k in o.data for k in self.stuck):
+            elif (
+                isinstance(o, commands.Write)
+                and b"Req-Deadline-Ms" in o.data
+                and not any(k in o.data for k in self.stuck)
+            ):
                 self.sent_at.append(self.now)
                 self.due.append((self.now + ANSWER_DELAY_MS, "answer", o.conn))
         return found
