--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -74,7 +74,7 @@
         await shell.serve(*config.listen, config.peer_listen, listening=listening)
         calm_collector()
         core.log(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
-                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
+                 memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
         shell.carry_out()
         if os.environ.get("EDGE_TRACE"):
             self.trace(Trace(core))
--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -75,8 +75,8 @@
     def _partner_in_slot(self, slot: int) -> Partner:
         if self.overrides and (other := self.overrides.get(self.names[slot])) is not None:
             return other
-        first, spread = self.doors[slot]
-        return Partner(self.names[slot], self.plans[slot], spread or self.ingress_count, first)
+        first_gateway, gateway_count = self.doors[slot]
+        return Partner(self.names[slot], self.plans[slot], gateway_count or self.ingress_count, first_gateway)
 
     def put(self, name: str, plan: str, key: bytes, gateways: tuple[int, int]) -> int:
         """Adds or replaces a partner and returns its slot. The digest ``key`` must not belong to another partner."""
--- a/tests/edge/event_orders.py
+++ b/tests/edge/event_orders.py
@@ -20,7 +20,7 @@
 
 
 # Hypothesis derives the seed of a derandomized run from the source text of the machine. It is fixed here, so that an
-# edited name or comment does not change the orders that are played; the rules are drawn in the order of their names.
+# edited name or comment does not change the orders that are run; the rules are drawn in the order of their names.
 SEED = int(
     "11884721342477476735447893626819894899630744926991975020753389188049532439710517897293433829490912430793545971454"
 )
--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -256,8 +256,7 @@
 
 
 def test_late_duplicate_answer_is_not_taken_for_another_request(edge):
-    """The connection was reused at once, and a duplicate answer some milliseconds later was taken for the next
-    one."""
+    """The connection was reused at once, and a duplicate some milliseconds later was taken for the next answer."""
     conn, backend_conn = edge.send_request(request("one"))
     edge.receive(backend_conn, answer(b"for one"))
     for rid in ("two", "three", "four"):  # to all backends
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -198,8 +198,7 @@
 
 
 def test_rejected_connections_make_room_for_new_requests():
-    """Rejected connections lingered above the limit, one was closed for each new client, and all of these were
-    rejected."""
+    """Rejected connections lingered above the limit, so that closing one for each new client rejected them all."""
     edge = Edge(max_clients=4)
     for _ in range(20):  # at once: none is old enough to be closed
         edge.connect()
