--- a/tests/edge/test_backends.py
+++ b/tests/edge/test_backends.py
@@ -10,13 +10,13 @@
 from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer, booking, request
 
-AFTER = {
+VALID_ANSWERS = {
     "a second copy": answer(b"good") + answer(b"good"), "noise behind": answer(b"good") + b"\x00\x01\r\nxx",
     "1xx ahead": b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer(b"good"),
     "use that can't be read": answer(b"good", more="X-Meter: lots\r\n"),
     "load that can't be read": answer(b"good", more="Srv-Load: util=high,,=\r\n"),
 }  # fmt: skip
-SPOILT = {
+MALFORMED_ANSWERS = {
     "noise": b"\x00\x01\x02noise\r\n\r\n", "endless head": b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000,
     "3 GB": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"z" * 1000,
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -32,18 +32,18 @@
     )
 
 
-@pytest.mark.parametrize("name", AFTER)
+@pytest.mark.parametrize("name", VALID_ANSWERS)
 def test_valid_answer_with_extra_bytes_is_served(edge, name):
     conn, backend_conn = edge.send_request()
-    edge.receive(backend_conn, AFTER[name])
+    edge.receive(backend_conn, VALID_ANSWERS[name])
     assert edge.statuses(conn) == [200] and edge.written(conn).endswith(b"good")
     assert (backend_conn in edge.closed) is ("copy" in name or "noise" in name)
 
 
-@pytest.mark.parametrize("name", SPOILT)
+@pytest.mark.parametrize("name", MALFORMED_ANSWERS)
 def test_malformed_answer_is_not_forwarded_and_its_connection_ends(edge, name):
     conn, backend_conn = edge.send_request()
-    issued = edge.receive(backend_conn, SPOILT[name])
+    issued = edge.receive(backend_conn, MALFORMED_ANSWERS[name])
     assert backend_conn in edge.closed and not edge.written(conn)
     # The class is safe to repeat: the next attempt is sent after the connection of the first was cut.
     kinds = [type(o) for o in issued if isinstance(o, commands.AbortConnection | commands.Dial)]
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -25,7 +25,7 @@
     assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open_request_ids
 
 
-BAD = {
+INVALID_REQUESTS = {
     "no id": request(Req_Id=None), "id with a space": request("a b"), "no class": request(cls="none"),
     "no plan": request(plan="none"), "deadline of text": request(Req_Deadline_Ms="soon"),
     "deadline nan": request(Req_Deadline_Ms="nan"), "deadline 0": request(Req_Deadline_Ms="0"),
@@ -42,10 +42,10 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
 def test_invalid_request_gets_an_error_and_the_connection_stays(edge, name):
     conn = edge.connect()
-    edge.receive(conn, BAD[name])
+    edge.receive(conn, INVALID_REQUESTS[name])
     assert 400 <= edge.statuses(conn)[0] < 429 and conn not in edge.closed
     assert not edge.core.engine.ledger.entries
     _, backend_conn = edge.send_request(conn=conn)
@@ -53,7 +53,7 @@
     assert edge.statuses(conn)[1:] == [200]
 
 
-UNREADABLE = {
+MALFORMED_REQUESTS = {
     "noise": b"\x00\x01\xff\xfe" * 8 + b"\r\n\r\n",
     "both lengths": request(Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n",
     "both, other order": booking().replace(b"Content-Length", b"Transfer-Encoding: chunked\r\nContent-Length"),
@@ -66,10 +66,10 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", UNREADABLE)
+@pytest.mark.parametrize("name", MALFORMED_REQUESTS)
 def test_malformed_request_gets_one_error_and_the_connection_ends(edge, name):
     conn = edge.connect()
-    issued = edge.receive(conn, UNREADABLE[name])
+    issued = edge.receive(conn, MALFORMED_REQUESTS[name])
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
     assert b"Connection: close" in edge.written(conn) and conn in edge.closed
     # The error reaches a client that still sends: only writing ends here, and the connection is cut after more bytes.
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -44,17 +44,17 @@
     assert edge.core.nodes.effective["s-1"].state.value == "draining"
 
 
-BAD = {
+UNUSABLE_ANSWERS = {
     "no JSON": answer(b"{"), "no HTTP": b"\x00noise\r\n\r\n", "status": answer(b"{}", "500 No"),
     "no version": answer(b'{"full": true, "servers": []}'), "no list": answer(b'{"version": 9, "full": true}'),
     "older": page(3, full=True), "half": answer(orjson.dumps(LIST))[:60],
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", UNUSABLE_ANSWERS)
 def test_unusable_answer_keeps_the_list_and_is_asked_again(edge, name):
     conn = connect_discovery(edge)
-    edge.receive(conn, BAD[name])
+    edge.receive(conn, UNUSABLE_ANSWERS[name])
     edge.advance_ms(1500.0)
     assert sorted(edge.core.nodes.effective) == ["s-1", "s-2", "s-3"] and conn in edge.closed
     assert edge.core.list.conn != conn
@@ -63,7 +63,7 @@
 
 
 FIRST = LIST["servers"][0]
-ODD = {
+MALFORMED_ENTRIES = {
     "without id": {"addr": "a:1", "state": "Ready"}, "no object": "s-1", "id of no kind": {**FIRST, "id": 7},
     "address": {**FIRST, "addr": "nowhere"}, "state of no kind": {**FIRST, "state": ["Ready"]},
     "port in other digits": {**FIRST, "addr": "10.0.0.1:\u00b2"}, "state unknown": {**FIRST, "state": "Odd"},
@@ -72,16 +72,18 @@
 
 
 @pytest.mark.parametrize("full", [True, False])
-@pytest.mark.parametrize("name", ODD)
+@pytest.mark.parametrize("name", MALFORMED_ENTRIES)
 def test_malformed_entry_drains_only_its_own_backend(edge, name, full):
     """A malformed entry made the whole list refused, and no change applied for as long as it was listed."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
     second, third = LIST["servers"][1:]
-    edge.receive(conn, page(8, ODD[name], {**second, "state": "Terminating"}, *[third] * full, full=full))
+    edge.receive(
+        conn, page(8, MALFORMED_ENTRIES[name], {**second, "state": "Terminating"}, *[third] * full, full=full)
+    )
     held = {a: s.state.value for a, s in edge.core.nodes.effective.items()}
     assert held["s-2"] == "draining" and held["s-3"] == "ready" and edge.core.list.version == 8
-    whose = ODD[name].get("id") if isinstance(ODD[name], dict) else None
+    whose = MALFORMED_ENTRIES[name].get("id") if isinstance(MALFORMED_ENTRIES[name], dict) else None
     assert held.get("s-1") == ("draining" if whose == "s-1" else None if full else "ready")
     assert edge.core.list.counts["odd_entries"] == 1 and conn not in edge.closed
 
@@ -101,7 +103,7 @@
     """The older list was refused for 10 s, while a change must apply within 6 s."""
     second, third = LIST["servers"][1:]
     older = page(3, {**FIRST, "state": "Terminating"}, {**second, "started_ms": 9_000}, full=True)
-    began = edge.now
+    started_ms = edge.now
     edge.receive(connect_discovery(edge), older)
     assert states(edge) == {"s-1": "draining", "s-2": "ready", "s-3": "ready"}
     assert edge.core.nodes.effective["s-2"].online_since_ms == 9_000
@@ -109,7 +111,7 @@
         edge.advance_ms(10.0)
         if edge.core.list.state == "dialing":
             edge.receive(connect_discovery(edge), older)
-    assert edge.now - began <= OLDER_DRAINS_ONLY_MS + 2 * RETRY_DELAY_MS[1]
+    assert edge.now - started_ms <= OLDER_DRAINS_ONLY_MS + 2 * RETRY_DELAY_MS[1]
 
 
 def test_backend_ready_in_an_older_list_only_stays_draining(edge):
@@ -142,7 +144,7 @@
     def step(self):
         return self.steps[0] if len(self.steps) == 1 else self.steps.pop(0)
 
-    def take(self):
+    def schedule_answers(self):
         """Schedules the answers to new dials and calls of the ingress."""
         for command in self.edge.commands[self.seen :]:
             if isinstance(command, commands.Dial) and command.port == 8500:
@@ -162,9 +164,9 @@
 
     def run(self, until_ms, done):
         """Runs until ``done`` returns true or the time is over; returns the time taken in milliseconds."""
-        began = self.edge.now
-        while not done() and self.edge.now - began < until_ms:
-            self.take()
+        started_ms = self.edge.now
+        while not done() and self.edge.now - started_ms < until_ms:
+            self.schedule_answers()
             self.due.sort(key=lambda d: d[0])
             at = self.edge.core.next_at()
             if self.due and self.due[0][0] <= at:
@@ -176,31 +178,31 @@
                 self.edge.now = max(self.edge.now, at)
                 self.edge.core.advance(self.edge.now)
             self.edge.turn()
-        return self.edge.now - began
+        return self.edge.now - started_ms
 
 
-TROUBLES = ("dial refused", "half", "silent", "garbage")
+FAULTS = ("dial refused", "half", "silent", "garbage")
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_change_applies_in_time_after_any_single_fault(edge, trouble):
+@pytest.mark.parametrize("fault", FAULTS)
+def test_change_applies_in_time_after_any_single_fault(edge, fault):
     """Two waits of 3 s, a dial and a delay took 6.5 s, longer than a drain may take to apply."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
     # The watch falls silent right after a call, and the change happens now.
-    took = Agent(edge, [trouble, "good"]).run(10_000.0, lambda: states(edge)["s-1"] == "draining")
+    took = Agent(edge, [fault, "good"]).run(10_000.0, lambda: states(edge)["s-1"] == "draining")
     assert took <= MAX_CHANGE_DELAY_MS <= 5_000.0
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("before", [0.0, 100.0, 1_000.0, 2_300.0, 2_600.0, 3_100.0])
-def test_change_after_sighup_applies_in_time_after_any_fault(edge, trouble, before):
+def test_change_after_sighup_applies_in_time_after_any_fault(edge, fault, before):
     """Also if the address stays the same: only another address was called at once."""
     conn = connect_discovery(edge)
     edge.receive(conn, answer(orjson.dumps(LIST)))
     agent = Agent(edge, ["silent"])
     agent.run(before, lambda: False)
-    agent.steps = [trouble, "good"]
+    agent.steps = [fault, "good"]
     edge.core.reload(edge.now, edge.core.setup)
     edge.turn()
     assert agent.run(10_000.0, lambda: states(edge)["s-1"] == "draining") <= 3_000.0
@@ -215,10 +217,10 @@
         if edge.core.list.state == "dialing":
             edge.core.dial_failed(edge.now, edge.core.list.conn)
             edge.turn()
-    began = edge.now
+    started_ms = edge.now
     while edge.core.list.state != "dialing":
         edge.advance_ms(1.0)
-    assert edge.now - began <= RETRY_DELAY_MS[1] <= 250.0
+    assert edge.now - started_ms <= RETRY_DELAY_MS[1] <= 250.0
 
 
 def test_older_list_that_persists_is_accepted(edge):
--- a/tests/edge/test_forms.py
+++ b/tests/edge/test_forms.py
@@ -32,7 +32,7 @@
     return head + b"\r\n\r\n" + body + b"0\r\n" + trailers + b"\r\n"
 
 
-SAFE = {
+SAFE_FORMS = {
     "plain": PLAIN,
     "names in lower case": b"\r\n".join(
         line if k == 0 else line.partition(b":")[0].lower() + b":" + line.partition(b":")[2]
@@ -53,7 +53,7 @@
     "metering with spaces": vary(PLAIN, b"units=1,spread=1,first=0", b"units=1, spread=1 ,first=0"),
     "HTTP/1.0": vary(PLAIN, b"HTTP/1.1", b"HTTP/1.0"),
 }  # fmt: skip
-KEPT = {
+KEYED_FORMS = {
     "plain": KEYED, "a length with zeros ahead": vary(KEYED, b"Length: 9", b"Length: 009"),
     "a length with a space behind": vary(KEYED, b"Length: 9", b"Length: 9 "),
     "the length first": vary(vary(KEYED, b"Content-Length: 9\r\n", b""), b"Host:", b"Content-Length: 9\r\nHost:"),
@@ -63,7 +63,7 @@
     "chunks and trailers": chunked(b'{"to": 1}', trailers=b"X-Sum: 7 \r\nX-More: 8\r\n"),
     "the coding's name in other letters": vary(chunked(b'{"to": 1}'), b": chunked", b": Chunked"),
 }  # fmt: skip
-TARGETS = {
+TARGET_FORMS = {
     "upper case": b"/api?customer=0000000000ABCDEF", "escapes": b"/api?customer=0000000000%61bcdef",
     "other fields": b"/api?x=1&customer=0000000000abcdef&y=",
     "another path": b"/a/b;c=d/%7e?customer=0000000000abcdef",
@@ -85,29 +85,29 @@
     return asked[0][0], ask.class_name, ask.within_ms, ask.units, ask.arrived_ms, ask.partner, p.head, p.body
 
 
-@pytest.mark.parametrize("name", SAFE)
+@pytest.mark.parametrize("name", SAFE_FORMS)
 def test_each_form_of_a_request_without_body_parses_like_the_plain_one_at_any_split(name):
-    data, plain = SAFE[name], read(PLAIN)
+    data, plain = SAFE_FORMS[name], read(PLAIN)
     for cut in range(len(data) + 1):
         assert read(data[:cut], data[cut:]) == plain, cut
     assert read(*(data[k : k + 1] for k in range(len(data)))) == plain
 
 
-@pytest.mark.parametrize("name", KEPT)
+@pytest.mark.parametrize("name", KEYED_FORMS)
 def test_each_form_of_a_request_with_body_parses_like_the_plain_one_at_any_split(name):
-    data, plain = KEPT[name], read(KEYED)
+    data, plain = KEYED_FORMS[name], read(KEYED)
     assert plain[-1] == b'{"to": 1}'
     for cut in range(len(data) + 1):
         assert read(data[:cut], data[cut:]) == plain, cut
     assert read(*(data[k : k + 1] for k in range(len(data)))) == plain
 
 
-@pytest.mark.parametrize("name", TARGETS)
+@pytest.mark.parametrize("name", TARGET_FORMS)
 def test_each_form_of_a_target_has_the_same_customer_and_is_forwarded_unchanged(name):
-    data = vary(request(customer=CUSTOMER), b"/api?customer=" + CUSTOMER.encode(), TARGETS[name])
+    data = vary(request(customer=CUSTOMER), b"/api?customer=" + CUSTOMER.encode(), TARGET_FORMS[name])
     for cut in range(len(data) + 1):
         *_, partner, head, _ = read(data[:cut], data[cut:])
-        assert partner.name == CUSTOMER and head.startswith(b"GET " + TARGETS[name] + b" HTTP/1.1\r\n")
+        assert partner.name == CUSTOMER and head.startswith(b"GET " + TARGET_FORMS[name] + b" HTTP/1.1\r\n")
 
 
 @pytest.mark.parametrize("first", [PLAIN, KEYED, chunked(b'{"to', b'": 1}')])
--- a/tests/edge/test_in_time.py
+++ b/tests/edge/test_in_time.py
@@ -188,7 +188,7 @@
             edge.receive(conn, answer())
 
 
-WAYS = {
+PATHS = {
     "a dial": (one_dial, 1), "an idle connection": (an_idle_connection, 1),
     "a connection that rests": (a_connection_that_rests, 1), "behind another request": (behind_another, 1),
     "after a failed dial": (after_a_failed_dial, 1), "after a refusal": (after_a_refusal, 2),
@@ -198,14 +198,14 @@
 }  # fmt: skip
 
 
-def make_edge(way):
-    return Timed(THREE, peers=PEERS) if "owner" in way else Timed()
+def make_edge(path):
+    return Timed(THREE, peers=PEERS) if "owner" in path else Timed()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_attempt_sends_the_remaining_time_of_its_client(way):
+@pytest.mark.parametrize("path", PATHS)
+def test_attempt_sends_the_remaining_time_of_its_client(path):
     """Never more than the remaining time, and less only by the margin in which the answer is sent."""
-    edge, (play, attempts) = make_edge(way), WAYS[way]
+    edge, (play, attempts) = make_edge(path), PATHS[path]
     play(edge)
     found = [pair for rid in edge.arrived_ms for pair in edge.deadlines_sent(rid)]
     assert max(len(edge.deadlines_sent(rid)) for rid in edge.arrived_ms) == attempts and found
@@ -283,14 +283,14 @@
     edge.send_timed("two")
 
 
-HANGING = (
+WAITING_SCENARIOS = (
     silent_backends, dials_that_never_come_up, answers_without_end, silent_owners, two_on_one_connection,
     a_module_that_forgets, a_module_that_raises, the_process_ends, its_class_goes, its_backend_leaves_the_list,
     nobody_listed,
 )  # fmt: skip
 
 
-@pytest.mark.parametrize("play", HANGING, ids=lambda play: play.__name__)
+@pytest.mark.parametrize("play", WAITING_SCENARIOS, ids=lambda play: play.__name__)
 def test_every_request_is_answered_by_its_deadline_whatever_it_waits_for(play):
     """The platform allows one in 500 without an answer; here each is answered before its deadline."""
     edge = make_edge(play.__name__)
@@ -347,7 +347,7 @@
     edge.receive(source, answer(orjson.dumps(page)))
 
 
-LATER = {
+LATER_EVENTS = {
     "a dial comes up": (False, a_dial_comes_up), "a dial fails": (False, a_dial_fails),
     "its backend is left out": (False, left_out_of_the_list), "refused": (True, refused), "failed": (True, failed),
     "broken": (True, broken), "spoilt": (True, spoilt), "silent": (True, silent),
@@ -356,10 +356,10 @@
 
 @pytest.mark.parametrize("keyed", [False, True])
 @pytest.mark.parametrize("seen", ["read", "not read yet"])
-@pytest.mark.parametrize("then", LATER)
+@pytest.mark.parametrize("then", LATER_EVENTS)
 def test_no_further_attempt_for_a_disconnected_client(then, seen, keyed):
     """Neither a waiting first attempt nor a retry is sent, whether or not the disconnect is read yet."""
-    edge, (out, play) = Timed(), LATER[then]
+    edge, (out, play) = Timed(), LATER_EVENTS[then]
     if then == "silent":
         used_to_quick_answers(edge)
     conn = edge.connect()
--- a/tests/edge/test_lists.py
+++ b/tests/edge/test_lists.py
@@ -18,7 +18,7 @@
 )
 from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer, booking, request
-from tests.edge.test_discovery_watch import TROUBLES, Agent, connect_discovery, page, states
+from tests.edge.test_discovery_watch import FAULTS, Agent, connect_discovery, page, states
 
 RELOAD_MS = 4_000.0  # a change must apply in this time after SIGHUP, by the platform's page
 LAST_MS = 700.0  # after SIGTERM no new clients are accepted
@@ -90,18 +90,18 @@
     assert edge.statuses(conn) == [503, 200]
 
 
-@pytest.mark.parametrize("trouble", ["good", *TROUBLES])
-def test_watch_that_ends_without_an_answer_costs_one_call(edge, trouble):
+@pytest.mark.parametrize("fault", ["good", *FAULTS])
+def test_watch_that_ends_without_an_answer_costs_one_call(edge, fault):
     """The watch is reset when there is a change, which is an omitted backend."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
-    agent = Agent(edge, [trouble, "good"])
+    agent = Agent(edge, [fault, "good"])
     agent.page = left_out("s-1")
     edge.closed.add(source)
     edge.core.ended(edge.now, source)
     edge.turn()
     took = agent.run(10_000.0, lambda: "s-1" not in states(edge))
-    assert took <= (2 if trouble != "good" else 1) * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + 3 * RETRY_DELAY_MS[0]
+    assert took <= (2 if fault != "good" else 1) * (CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS) + 3 * RETRY_DELAY_MS[0]
 
 
 # --- watches that fall silent late --------------------------------------------------------------------
@@ -115,11 +115,11 @@
         super().__init__(edge, steps)
         self.silent_at, self.page, self.good = silent_at, left_out("s-1"), True
 
-    def take(self):
+    def schedule_answers(self):
         if self.edge.now >= self.silent_at:
             if self.good:  # pending answers never arrive
                 self.good, self.due = False, []
-            super().take()
+            super().schedule_answers()
             return
         for command in self.edge.commands[self.seen :]:
             if isinstance(command, commands.Write) and b"GET /catalog" in command.data:
@@ -128,14 +128,14 @@
         self.seen = len(self.edge.commands)
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("term_ms", [None, -2_200.0, -700.0, -1.0, 0.0, 1.0, 700.0, 2_200.0, 2_300.0])
-def test_watch_silent_after_13_s_is_detected_also_around_sigterm(edge, trouble, term_ms):
+def test_watch_silent_after_13_s_is_detected_also_around_sigterm(edge, fault, term_ms):
     """An ingress that shuts down still needs changes, since it still sends requests."""
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
     silent_at = edge.now + 13_000.0
-    agent = Watched(edge, [trouble, "good"], silent_at)
+    agent = Watched(edge, [fault, "good"], silent_at)
     agent.seen = max(k for k, o in enumerate(edge.commands) if isinstance(o, commands.Write))  # the last watch call
     agent.run(13_000.0 + min(0.0, term_ms or 0.0), lambda: False)
     ends = None if term_ms is None else [silent_at + term_ms, silent_at + term_ms + LAST_MS]
@@ -172,12 +172,12 @@
         assert edge.statuses(conn) == [200] and link in edge.closed
 
 
-@pytest.mark.parametrize("trouble", ["good", *TROUBLES])
+@pytest.mark.parametrize("fault", ["good", *FAULTS])
 @pytest.mark.parametrize("told", ["Terminating", "left out"])
-def test_drain_known_to_the_new_discovery_only_applies_in_time(edge, told, trouble):
+def test_drain_known_to_the_new_discovery_only_applies_in_time(edge, told, fault):
     source = connect_discovery(edge)
     edge.receive(source, answer(orjson.dumps(LIST)))
-    agent = Agent(edge, [trouble, "good"])
+    agent = Agent(edge, [fault, "good"])
     if told == "left out":
         agent.page = left_out("s-1")
     edge.core.reload(edge.now, replace(edge.core.setup, discovery=("10.9.0.2", 8500)))
