--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -84,8 +84,8 @@
     gateway = make_gateway(servers=12)
     admitted = {"look": 0, "book": 0}
     for k in range(64):
-        cls = "book" if k % 2 else "look"
-        admitted[cls] += isinstance(gateway.request(class_name=cls)[1], interface.Send)
+        class_name = "book" if k % 2 else "look"
+        admitted[class_name] += isinstance(gateway.request(class_name=class_name)[1], interface.Send)
     assert admitted["look"] > 0
     assert admitted["book"] > 1.3 * admitted["look"]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import random
 from dataclasses import replace
 
 import pytest
@@ -11,9 +12,9 @@
 
 
 @pytest.mark.parametrize("result", [r for r in interface.Result if r is not interface.Result.OK])
-@pytest.mark.parametrize("cls", ["look", "book", "pay"])
-def test_every_request_gets_one_final_answer(gateway, cls, result):
-    request_id, action = gateway.request(class_name=cls)
+@pytest.mark.parametrize("class_name", ["look", "book", "pay"])
+def test_every_request_gets_one_final_answer(gateway, class_name, result):
+    request_id, action = gateway.request(class_name=class_name)
     finals = []
     for attempt in range(6):
         assert isinstance(action, interface.Send)
@@ -73,10 +74,10 @@
     """The window counts from the client's request, and a retry decided in time is sent up to a dial timeout later. On
     a day with slow dials the servers had forgotten the key of one (harbour, zone+brink)."""
     short = replace(SETTINGS.classes[1], window_ms=700.0)
-    g = make_gateway(classes=(short,), limits=replace(SETTINGS.limits, dial_timeout_ms=250.0))
-    request_id, send = g.request(class_name="book")
-    g.now += at
-    actions = g.end_attempt(request_id, send, interface.Result.RESET, at)
+    gateway = make_gateway(classes=(short,), limits=replace(SETTINGS.limits, dial_timeout_ms=250.0))
+    request_id, send = gateway.request(class_name="book")
+    gateway.now += at
+    actions = gateway.end_attempt(request_id, send, interface.Result.RESET, at)
     assert isinstance(actions[0], interface.Send) is retry
 
 
@@ -96,7 +97,7 @@
 def test_cold_servers_get_their_share_where_each_gateway_has_few_requests(make_gateway):
     """Each gateway left cold servers idle: the fleet sent all requests to four in ten servers and jammed them."""
     servers = [interface.Server(f"s{k}", online_since_ms=1000.0 if k % 5 < 3 else 0.0) for k in range(60)]
-    counts = dict.fromkeys((s.address for s in servers), 0)
+    counts = dict.fromkeys((server.address for server in servers), 0)
     for seed in range(100):
         gateway = make_gateway(gateways=100, limits=replace(SETTINGS.limits, connection_idle_ms=15_000.0))
         gateway.policy.server_pool.rng.seed(seed)
@@ -106,7 +107,7 @@
             gateway.now += 50.0
             gateway.end_attempt(request_id, send, spent_ms=50.0)
             counts[send.server] += 1
-    cold = [counts[s.address] for s in servers if s.online_since_ms]
+    cold = [counts[server.address] for server in servers if server.online_since_ms]
     assert 0.18 <= sum(cold) / 1000 <= 0.28  # 36 at a fifth of a warm one's capacity beside 24: 0.23
     assert max(cold) <= 3 * 1000 * 0.23 / 36 + 3  # and none gets the share of others
 
@@ -122,13 +123,13 @@
 
 
 def test_reserved_capacity_is_never_negative_and_is_all_released(make_gateway):
-    import random
-
-    gateway, rng, out = make_gateway(servers=3), random.Random(3), []
+    gateway = make_gateway(servers=3)
+    rng = random.Random(3)
+    in_flight = []
     for step in range(3000):
         gateway.now += rng.choice([0.0, 3.0, 40.0])
-        if out and rng.random() < 0.5:
-            request_id, send = out.pop(rng.randrange(len(out)))
+        if in_flight and rng.random() < 0.5:
+            request_id, send = in_flight.pop(rng.randrange(len(in_flight)))
             result = rng.choice(
                 [interface.Result.OK, interface.Result.OK, interface.Result.TIMEOUT, interface.Result.FULL]
             )
@@ -139,11 +140,11 @@
                 class_name=rng.choice(["look", "book", "pay"]), units=float(rng.randint(1, 4))
             )
             if isinstance(send, interface.Send):
-                out.append((request_id, send))
+                in_flight.append((request_id, send))
         if step % 50 == 0:
             gateway.handle(interface.Timer(0))
-        assert all(u >= 0 for u in gateway.policy.capacity.partitions.used)
-    for request_id, send in out:
+        assert all(used >= 0 for used in gateway.policy.capacity.partitions.used)
+    for request_id, send in in_flight:
         gateway.end_attempt(request_id, send, interface.Result.TIMEOUT, 900.0, settled=True)
     assert sum(gateway.policy.capacity.partitions.used) == pytest.approx(0.0, abs=1e-6)
     assert not gateway.policy.pending
