--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -337,13 +337,13 @@
     usage.change(prepared.plans, mine.gone)
     usage.source = partners.held  # as it is by now
     if prepared.setup is not None:
-        setup.renew(core, now)
+        setup.reload(core, now)
     elif core.setup.credentials is not partners.held:
         core.setup = setup
     if prepared.touched:
         if prepared.setup is None:
-            core.setup.touch(core, now, prepared.touched)
+            core.setup.update_partners(core, now, prepared.touched)
         # Of thousands only those that the policy knows by now: the others have their doors from their first request.
         quota = getattr(core.engine.policy, "quota", None)
         busy = () if quota is None else quota.customers
-        core.setup.moved(core, now, [name for name, hashed in prepared.hashes if hashed in busy])
+        core.setup.update_plans_and_gateways(core, now, [name for name, hashed in prepared.hashes if hashed in busy])
--- a/rushweir/daemon/operations.py
+++ b/rushweir/daemon/operations.py
@@ -62,7 +62,7 @@
             "reloaded_ms": self.reloaded_at,
             "answers": {k: core.engine.counts[k] for k in ("served", "refused", "failed", "left")},
             "faults": core.engine.faults, "attempts_out": len(core.pool.where),
-            **({"fleet": core.fleet.seen()} if core.fleet is not None else {}),
+            **({"fleet": core.fleet.status()} if core.fleet is not None else {}),
         }  # fmt: skip
 
     def overview(self) -> dict[str, Any]:
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -60,7 +60,7 @@
     def _peers(self) -> Peers | None:
         return Peers(self.settings.gateway, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
-    def adopt(self, core: base.Core) -> None:
+    def apply_to(self, core: base.Core) -> None:
         core.components.shared.adopt(self.settings)
         core.components.shared.kept = self.kept
         core.pool.settings = self.pool
--- a/rushweir/ingress/__init__.py
+++ b/rushweir/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The ingress: a sans-I/O engine that drives the decisions, and the asyncio shell that carries them out."""
+"""The ingress: a sans-I/O core around the decisions, and the asyncio shell that carries out its commands."""
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -1,4 +1,4 @@
-"""The member of a fleet inside an ingress: its orders become the core's, its number is the ingress's. No I/O."""
+"""The fleet member inside an ingress: its commands become the core's, its slot is the ingress's number. No I/O."""
 
 from __future__ import annotations
 
@@ -8,179 +8,200 @@
 
 import msgpack
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.budgets.core import Budgets
 from rushweir.budgets.records import UNIT, BudgetTotal
 from rushweir.budgets.status import rows
 from rushweir.fleet import commands as fleet_commands
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.frame import VERSION
-from rushweir.fleet.status import status
+from rushweir.fleet.status import status as fleet_status
 from rushweir.fleet.views import ACTIVE
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.rollout.ceilings import CLOSED
 
 if TYPE_CHECKING:
     from rushweir.ingress.core import Core
     from rushweir.ingress.queries import Partner
 
-FILE = "fleet"  # in the state folder: what a seed voted for
-LOAD, LOAD_BYTES = 16, 48  # an entry of each ingress: what it answered and refused, what is open
-LOOK_MS = 500.0  # how often the number is looked at
-TELL_MS, TOLD_PER_S = 2_000.0, 30.0  # own figures are told so often, in a large fleet as often as all can take
-MOST_ROWS = 50  # of budgets, in what operators see
+FILE = "fleet"  # in the state folder: the views that a seed accepted
+LOAD, LOAD_BYTES = 16, 48  # kind and size of the table entry with the load of each ingress
+CHECK_INTERVAL_MS = 500.0  # between checks of the own slot
+# The own load is reported at this interval, and less often in a large fleet: each member receives all reports.
+MIN_PUBLISH_INTERVAL_MS, MAX_REPORTS_PER_S = 2_000.0, 30.0
+MAX_BUDGET_ROWS = 50  # in the status for operators
 BOUNDS = {LOAD: LOAD_BYTES}
 
 
 class Membership:
-    """One ingress in its fleet. The core passes time and datagrams on, and takes its orders."""
+    """One ingress in its fleet. The core passes it time and datagrams, and carries out its commands."""
 
     def __init__(
-        self, fleet: Fleet, number: int, given: bool, term_ms: float, floor: float, told: bool = False
+        self,
+        fleet: Fleet,
+        number: int,
+        assigned: bool,
+        lease_ms: float,
+        minimum_share: float,
+        log_shares: bool = False,
     ) -> None:
-        """``number`` is what the ingress works under; ``given``: by the fleet, not by the settings. ``term_ms`` and
-        ``floor`` are those of the ceilings that it shares; ``told``: each change of a part goes to the log."""
-        self.fleet, self.number, self.given, self.floor, self.told = fleet, number, given, floor, told
-        self.budgets = Budgets(fleet, term_ms)
-        self.ceilings: dict[str, i.Plan] = {}  # by plan
+        """``number``: that of the ingress; ``assigned``: whether the fleet gave it, rather than the settings;
+        ``lease_ms`` and ``minimum_share``: those of shared ceilings; ``log_shares``: log each change of a share."""
+        self.fleet = fleet
+        self.number = number
+        self.assigned = assigned
+        self.minimum_share = minimum_share
+        self.log_shares = log_shares
+        self.budgets = Budgets(fleet, lease_ms)
+        self.ceilings: dict[str, interface.Plan] = {}  # plans with a ceiling, by name
         self.ended = False
-        self.told_at = 0.0
+        self.published_at = 0.0
 
     def start(self, core: Core) -> None:
-        """The fleet itself runs by now, or is started here."""
+        """Start the fleet, unless it already runs, and the budgets."""
         if self.fleet.next_at() is None:
             self.fleet.start(core.now)
-        core.engine.call_at(core.now, self._look, core)
+        core.engine.call_at(core.now, self._check_slot, core)
         self.budgets.start(core.now)
-        self.budgets.bucket_state = lambda name: _bucket(core, name)
-        self._settings(core.setup.settings)
-        self._peers(core)
+        self.budgets.bucket_state = lambda name: _bucket_state(core, name)
+        self._set_ceilings(core.setup.settings)
+        self._update_peer_addresses(core)
         if self.fleet.view.number:
-            self._present(core)
+            self._apply_settings(core)
 
-    def mine(self, data: bytes) -> bool:
-        """Whether a datagram is for the fleet, not for the quotas."""
+    def owns_datagram(self, data: bytes) -> bool:
+        """Whether a datagram is one of the fleet, not a message of the quotas."""
         return data[:1] == bytes([VERSION])
 
-    def carry(self, core: Core) -> None:
-        """What the fleet wants done."""
-        orders = self.fleet.commands
-        while orders:
-            order = orders.popleft()
-            match order:
+    def execute_commands(self, core: Core) -> None:
+        """Turn the fleet's commands into the core's."""
+        pending = self.fleet.commands
+        while pending:
+            command = pending.popleft()
+            match command:
                 case fleet_commands.SendTo():
-                    core.commands.append(c.SendDatagram(order.address, order.data))
+                    core.commands.append(commands.SendDatagram(command.address, command.data))
                 case fleet_commands.SaveFile():
-                    core.commands.append(c.SaveFile(FILE, order.serial, order.data))
+                    core.commands.append(commands.SaveFile(FILE, command.serial, command.data))
                 case fleet_commands.LogEvent():
-                    core.log_event(c.LogEvent(order.level, order.cause, order.fields))
+                    core.log_event(commands.LogEvent(command.level, command.cause, command.fields))
                 case fleet_commands.SlotChanged():
-                    core.log_event(c.LogEvent("info", "number", {"number": order.slot}))
+                    core.log_event(commands.LogEvent("info", "number", {"number": command.slot}))
                 case fleet_commands.ViewChanged():
-                    self._peers(core)
-                    self._present(core)
-                    core.log_event(c.LogEvent("info", "view", {"view": self.fleet.view.number}))
+                    self._update_peer_addresses(core)
+                    self._apply_settings(core)
+                    core.log_event(commands.LogEvent("info", "view", {"view": self.fleet.view.number}))
 
     # --- budgets ---------------------------------------------------------------------------------
 
-    def turn(self, core: Core) -> None:
-        """First in each turn: what is over is over before anything is decided by it."""
+    def update(self, core: Core) -> None:
+        """Expire leases and report changed shares; called before anything else at each time."""
         self.fleet.now = core.now
         if core.now >= self.budgets.next_expiry_at:
             self.budgets.expire_leases(core.now)
-        self._parts(core)
+        self._report_shares(core)
 
-    def asked(self, core: Core, partner: Partner, units: float) -> None:
-        """A request came, before it is decided on."""
+    def record_demand(self, core: Core, partner: Partner, units: float) -> None:
+        """Record the demand of a request, before it is decided on."""
         plan = self.ceilings.get(partner.plan)
         if plan is not None:
             count = 0 if partner.gateway_count >= self.fleet.settings.slot_count else partner.gateway_count
-            # What is between two settings is owned whole: nothing of it is lent, or kept by a home.
-            floor = 1.0 if plan.name.startswith(CLOSED) else self.floor
-            whole = BudgetTotal.from_units(
-                plan.ceiling_rate, plan.ceiling_burst, floor, partner.first_gateway if count else 0, count
+            # A plan between two versions of the settings has no leases: each gateway owns its share.
+            minimum_share = 1.0 if plan.name.startswith(CLOSED) else self.minimum_share
+            total = BudgetTotal.from_units(
+                plan.ceiling_rate, plan.ceiling_burst, minimum_share, partner.first_gateway if count else 0, count
             )
-            self.budgets.record_demand(core.now, partner.name, whole, int(units * UNIT))
-            self._parts(core)
+            self.budgets.record_demand(core.now, partner.name, total, int(units * UNIT))
+            self._report_shares(core)
 
-    def _parts(self, core: Core) -> None:
-        """Tell the policy what changed."""
+    def _report_shares(self, core: Core) -> None:
+        """Report changed shares to the policy, and to the log if it wants them."""
         if self.budgets.changes:
             changes, self.budgets.changes = self.budgets.changes, []
-            for x in changes:
-                whose = x.retained_key or x.name
-                part = i.Part(
-                    whose, x.share.rate / UNIT, x.share.burst / UNIT, x.added_tokens / UNIT, bool(x.retained_key)
+            for change in changes:
+                customer = change.retained_key or change.name
+                share = interface.Part(
+                    customer,
+                    change.share.rate / UNIT,
+                    change.share.burst / UNIT,
+                    change.added_tokens / UNIT,
+                    bool(change.retained_key),
                 )
-                core.engine.update_share(core.now, part)
-                if self.told:
+                core.engine.update_share(core.now, share)
+                if self.log_shares:
                     fields = {
                         "process": f"{self.fleet.me:016x}", "place": "{}:{}".format(*self.fleet.settings.address),
-                        "partner": x.name, "kept": x.retained_key, "rate": x.share.rate, "burst": x.share.burst,
-                        "lent_ms": 0.0 if x.retained_key else round(x.lease_ms, 1),
-                        "owned_rate": x.minimum_share.rate, "owned_burst": x.minimum_share.burst,
+                        "partner": change.name, "kept": change.retained_key, "rate": change.share.rate,
+                        "burst": change.share.burst,
+                        "lent_ms": 0.0 if change.retained_key else round(change.lease_ms, 1),
+                        "owned_rate": change.minimum_share.rate, "owned_burst": change.minimum_share.burst,
                     }  # fmt: skip
-                    core.commands.append(c.LogEvent("info", "part", fields))
+                    core.commands.append(commands.LogEvent("info", "part", fields))
 
-    def _settings(self, settings: i.Settings) -> None:
+    def _set_ceilings(self, settings: interface.Settings) -> None:
         self.ceilings = {p.name: p for p in settings.plans if p.ceiling_rate}
 
-    def among(self, settings: i.Settings) -> i.Settings:
-        """Settings as they hold among the members that there are: of numbers that nobody has none is a keeper."""
-        self._settings(settings)
-        seats = self.fleet.view.slots
-        return replace(settings, present_gateways=tuple(sorted(n for n, s in seats.items() if s.state == ACTIVE)))
+    def with_present_gateways(self, settings: interface.Settings) -> interface.Settings:
+        """Settings with the gateways that are present: a slot without a member owns no token buckets."""
+        self._set_ceilings(settings)
+        slots = self.fleet.view.slots
+        return replace(settings, present_gateways=tuple(sorted(n for n, s in slots.items() if s.state == ACTIVE)))
 
-    def _present(self, core: Core) -> None:
-        core.engine.apply_settings(core.now, self.among(core.setup.settings), core.engine.margin_ms)
+    def _apply_settings(self, core: Core) -> None:
+        core.engine.apply_settings(core.now, self.with_present_gateways(core.setup.settings), core.engine.margin_ms)
 
-    def _peers(self, core: Core) -> None:
-        seats = self.fleet.view.slots
-        core.commands.append(c.SetPeerAddresses({n: s.address for n, s in seats.items() if n != self.number}))
+    def _update_peer_addresses(self, core: Core) -> None:
+        slots = self.fleet.view.slots
+        core.commands.append(commands.SetPeerAddresses({n: s.address for n, s in slots.items() if n != self.number}))
 
-    def _look(self, core: Core) -> None:
-        """Whether the number is still this process's own; and what it did, for the others."""
+    def _check_slot(self, core: Core) -> None:
+        """End the process if it has lost its slot, and publish its load."""
         self.fleet.now = core.now
-        if not self.fleet.leaving and self.given and self.fleet.slot() != self.number and not self.ended:
-            # It may be another's by now: two that work under one number would each spend its parts.
+        if not self.fleet.leaving and self.assigned and self.fleet.slot() != self.number and not self.ended:
+            # Another process may have the slot by now, and both would spend its shares.
             self.ended = True
-            core.log_event(c.LogEvent("error", "number_lost", {"number": self.number}))
-            core.commands.append(c.EndProcess(f"number {self.number} is not surely its own any more"))
-        pace = max(TELL_MS, self.fleet.members.count() / TOLD_PER_S * 1000)
-        if core.now - self.told_at >= pace and not self.fleet.leaving:
-            self.told_at = core.now
-            n, owed = core.engine.counts, core.engine.ledger.unanswered
-            figures = [n["served"], n["refused"], n["failed"], owed, core.load_shedder.level]
-            self.fleet.publish(LOAD, msgpack.packb(figures))
-        core.engine.call_at(core.now + LOOK_MS, self._look, core)
+            core.log_event(commands.LogEvent("error", "number_lost", {"number": self.number}))
+            core.commands.append(commands.EndProcess(f"number {self.number} may belong to another process now"))
+        interval_ms = max(MIN_PUBLISH_INTERVAL_MS, self.fleet.members.count() / MAX_REPORTS_PER_S * 1000)
+        if core.now - self.published_at >= interval_ms and not self.fleet.leaving:
+            self.published_at = core.now
+            counts = core.engine.counts
+            unanswered = core.engine.ledger.unanswered
+            load = [counts["served"], counts["refused"], counts["failed"], unanswered, core.load_shedder.level]
+            self.fleet.publish(LOAD, msgpack.packb(load))
+        core.engine.call_at(core.now + CHECK_INTERVAL_MS, self._check_slot, core)
 
     def leave(self, core: Core, now: float) -> None:
+        """Leave the fleet and give the slot back; ``has_left`` tells when that is done."""
         self.fleet.now = now
         self.budgets.stop(now)
         self.fleet.leave(now)
-        self.carry(core)
+        self.execute_commands(core)
 
-    def hand_over(self, core: Core) -> None:
-        """A successor at the same address goes on from here: not a word more, and nothing more of any ceiling."""
+    def hand_off(self, core: Core) -> None:
+        """Stop sending and spend no more shares: a successor at the same address goes on as this member."""
         self.budgets.stop(core.now)
-        self._parts(core)
-        self.carry(core)
+        self._report_shares(core)
+        self.execute_commands(core)
         self.fleet.stop_sending(core.now)
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
+        """Whether leaving is completed, or was given up."""
         return self.fleet.left
 
-    def seen(self) -> dict[str, Any]:
-        """For operators."""
-        found = status(self.fleet)
+    def status(self) -> dict[str, Any]:
+        """The fleet and the budgets as operators see them."""
+        found = fleet_status(self.fleet)
         loads = {f"{origin:016x}": data for origin, (_, data) in self.fleet.table.entries_of(LOAD).items()}
-        for m in found["members"]:
-            figures = _figures(loads.get(m["id"]))
-            m.update(figures)
-        return found | {"budgets": sorted(rows(self.budgets, self.fleet.now), key=lambda r: -r["demand"])[:MOST_ROWS]}
+        for member in found["members"]:
+            member.update(_load_row(loads.get(member["id"])))
+        return found | {
+            "budgets": sorted(rows(self.budgets, self.fleet.now), key=lambda r: -r["demand"])[:MAX_BUDGET_ROWS]
+        }
 
 
-def _figures(data: bytes | None) -> dict[str, int | None]:
+def _load_row(data: bytes | None) -> dict[str, int | None]:
+    """The load in a table entry; None in each field if it can't be read."""
     names = ("served", "refused", "failed", "open", "overload")
     try:
         values = msgpack.unpackb(data) if data is not None else [None] * len(names)
@@ -189,11 +210,15 @@
     return dict(zip(names, values, strict=False))
 
 
-def _bucket(core: Core, name: str) -> tuple[int, int]:
-    """Of the module's bucket of a partner's ceiling: what it had no room for in all, and what it has room for."""
+def _bucket_state(core: Core, name: str) -> tuple[int, int]:
+    """Of the policy's token bucket for a leased share: all tokens that overflowed, and those it can still take."""
     quota, key = getattr(core.engine.policy, "quota", None), crc32(name.encode())
-    if quota is None or (lent := quota.leased_shares.get(key)) is None:
+    if quota is None or (share := quota.leased_shares.get(key)) is None:
         return 0, 0
-    c = quota.customers.get(key)
-    level = 0.0 if c is None else c.ceiling_tokens + lent.rate * (core.now - c.ceiling_refilled_at) / 1000
-    return int(lent.overflowed_tokens * UNIT), int(max(0.0, lent.burst - level) * UNIT)
+    customer = quota.customers.get(key)
+    tokens = (
+        0.0
+        if customer is None
+        else customer.ceiling_tokens + share.rate * (core.now - customer.ceiling_refilled_at) / 1000
+    )
+    return int(share.overflowed_tokens * UNIT), int(max(0.0, share.burst - tokens) * UNIT)
--- a/rushweir/ingress/pool.py
+++ b/rushweir/ingress/pool.py
@@ -1,4 +1,4 @@
-"""What the core drives as a pool of connections to nodes, whatever protocol these speak. No I/O."""
+"""The base of the pools of connections to nodes, independent of their protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushweir import interface as i
-from rushweir.ingress import commands as c
+from rushweir import interface
+from rushweir.ingress import commands
 
 
 class BasePool:
-    """``out`` holds orders for the shell, ``ended`` what became of attempts and probes."""
+    """A pool of connections. ``out`` has commands for the shell, ``ended`` the attempts and probes that ended."""
 
     def __init__(self, new_conn: Callable[[Any], int], at: Callable[[float, Callable[..., None], Any], None]) -> None:
-        """``new_conn`` names a connection and registers its handler; ``at`` sets a timer."""
+        """``new_conn`` returns a connection's number and registers its handler; ``at`` sets a timer."""
         self.new_conn, self.at = new_conn, at
-        self.out: list[c.ShellCommand] = []
-        self.ended: list[c.AttemptEnded | c.ProbeEnded] = []
+        self.out: list[commands.ShellCommand] = []
+        self.ended: list[commands.AttemptEnded | commands.ProbeEnded] = []
         self.counts: Counter[str] = Counter()
         self.now = 0.0
-        # Whether somebody still waits for an attempt: it may have waited here for a while since it was sent.
-        self.wanted: Callable[[c.Attempt], bool] = lambda attempt: True
+        # Whether a client still waits for an attempt, which may have been queued here for a while.
+        self.wanted: Callable[[commands.Attempt], bool] = lambda attempt: True
 
-    def cancel(self, now: float, attempt: c.Attempt) -> None:
-        """Stop waiting for an attempt. Whether its node stops too is the node's own affair."""
+    def cancel(self, now: float, attempt: commands.Attempt) -> None:
+        """Stop waiting for an attempt. Its node may go on working on it."""
         self.now = now
-        self._give_up(attempt, i.Result.CANCELLED)
+        self._give_up(attempt, interface.Result.CANCELLED)
 
-    def withdraw(self, now: float, attempt: c.Attempt) -> None:
-        """Nobody waits for it any more. What is on its way goes on: its node may be at work, and its connection
-        serves others; what is still here never goes out."""
+    def withdraw(self, now: float, attempt: commands.Attempt) -> None:
+        """Drop an attempt that no client waits for, unless it is sent: then its node may be working on it, and its
+        connection serves other attempts."""
         self.now = now
         if self._held_back(attempt):
-            self._give_up(attempt, i.Result.CANCELLED)
+            self._give_up(attempt, interface.Result.CANCELLED)
 
-    def _held_back(self, attempt: c.Attempt) -> bool:
-        """Whether some of an attempt is still on this side."""
+    def _held_back(self, attempt: commands.Attempt) -> bool:
+        """Whether an attempt is not completely sent yet."""
         raise NotImplementedError
 
-    def expire(self, now: float, attempt: c.Attempt) -> None:
-        """Its time is up."""
+    def expire(self, now: float, attempt: commands.Attempt) -> None:
+        """End an attempt whose deadline has passed."""
         self.now = now
-        self._give_up(attempt, i.Result.TIMEOUT)
+        self._give_up(attempt, interface.Result.TIMEOUT)
 
-    def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
+    def _give_up(self, attempt: commands.Attempt, result: interface.Result) -> None:
         raise NotImplementedError
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -159,9 +159,9 @@
         self.core.stop(self.clock())
         self.carry_out()
         end = self.loop.time() + within_ms / 1000
-        while not self.core.idle() and self.loop.time() < end:
+        while not self.core.is_idle() and self.loop.time() < end:
             await asyncio.sleep(0.01)
-        answered = self.core.idle()
+        answered = self.core.is_idle()
         self.core.finish(self.clock())
         self.carry_out()
         # The last bytes go out, and those who got them close: a socket that is closed here with bytes unread resets
@@ -178,7 +178,7 @@
         if self.core.fleet is not None:
             self.core.fleet.leave(self.core, self.clock())
             self.carry_out()
-            while not self.core.fleet.left():
+            while not self.core.fleet.has_left():
                 await asyncio.sleep(0.01)
             self.carry_out()
 
--- a/rushweir/ingress/websocket.py
+++ b/rushweir/ingress/websocket.py
@@ -1,4 +1,4 @@
-"""The ingress of ``rushweir serve``: clients, nodes, list and counter over WebSocket, keyed datagrams. No I/O."""
+"""The setup of ``rushweir serve``: clients, nodes, list and counter over WebSocket, sealed datagrams. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from zlib import crc32
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.budgets.core import Budgets
 from rushweir.budgets.records import NO_SHARE, BudgetTotal, budget_key
 from rushweir.counter.client import CounterClient
@@ -20,18 +20,20 @@
 from rushweir.peers.datagram import Peers
 
 
-def let_go(budgets: Budgets, name: str) -> None:
-    """Spend nothing more of what was lent of a budget: its doors are others, and so is the home that counts it. What
-    is on its way is not taken either; where it was lent it counts until it is surely over."""
+def release_lease(budgets: Budgets, name: str) -> None:
+    """Stop spending the leased share of a budget, since its gateways, and so its owner, have changed. Replies on the
+    way are ignored; the former owner counts the share until its lease has expired."""
     key = budget_key(name)
-    if (held := budgets.held_leases.get(key)) is not None:
+    if (lease := budgets.held_leases.get(key)) is not None:
         budgets.held_leases[key] = replace(
-            held, total=BudgetTotal(0, 0), share=NO_SHARE, requested_at={}, reported_share=NO_SHARE
+            lease, total=BudgetTotal(0, 0), share=NO_SHARE, requested_at={}, reported_share=NO_SHARE
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Setup(base.Setup):
+    """An ingress that speaks WebSocket with clients, nodes and services."""
+
     front: FrontSettings = field(default_factory=FrontSettings)
     pool: PoolSettings = field(default_factory=PoolSettings)
     credentials: Credentials = field(default_factory=lambda: Credentials({}))
@@ -41,86 +43,99 @@
     fleet: Membership | None = None
 
     def components(self, core: base.Core) -> base.Components:
-        s, at = self.settings, core.engine.call_at
-        headers = {"User-Agent": f"rushweir ingress={s.gateway} zone={s.zone}"}
-        made = base.Components(
+        """The components of an ingress with these settings."""
+        settings = self.settings
+        call_at = core.engine.call_at
+        headers = {"User-Agent": f"rushweir ingress={settings.gateway} zone={settings.zone}"}
+        components = base.Components(
             lambda: ClientConnection(core.setup.front, lambda: core.setup.credentials, core.health),
-            Pool(self.pool, headers, core.new_conn, at),
+            Pool(self.pool, headers, core.new_conn, call_at),
         )
         if self.list_url:
-            made.list = PushedList(self.list_url, headers, self.seed, core.new_conn, at, not s.ask_discovery)
+            components.list = PushedList(
+                self.list_url, headers, self.seed, core.new_conn, call_at, not settings.ask_discovery
+            )
         if self.counter_url:
-            made.counter = CounterClient(
-                self.counter_url, headers, self.seed, s.sharing.counter_timeout_ms or 50.0, core.new_conn, at
+            components.counter = CounterClient(
+                self.counter_url,
+                headers,
+                self.seed,
+                settings.sharing.counter_timeout_ms or 50.0,
+                core.new_conn,
+                call_at,
             )
         if self.peer_key:
-            made.peers = Peers(s.gateway, s.gateways, self.peer_key)
-        made.fleet = self.fleet
-        return made
+            components.peers = Peers(settings.gateway, settings.gateways, self.peer_key)
+        components.fleet = self.fleet
+        return components
 
-    def adopt(self, core: base.Core) -> None:
-        """Connections stay, those of a partner that is gone until their open requests are answered."""
+    def apply_to(self, core: base.Core) -> None:
+        """Apply these settings to the open connections; those of a removed partner are closed once they are idle."""
         core.pool.settings = self.pool
         for client in list(core.clients.open.values()):
             client.front.settings = self.front
             if client.front.partner is not None:
-                self._look(core, client)
+                self._update_partner(core, client)
 
-    def touch(self, core: base.Core, now: float, names: Collection[str]) -> None:
-        """These partners changed, or are no more, and nothing else did."""
-        core._at(now)
+    def update_partners(self, core: base.Core, now: float, names: Collection[str]) -> None:
+        """Apply changes of these partners, some of which may be removed, where nothing else changed."""
+        core._set_time(now)
         for client in list(core.clients.open.values()):
             if client.front.partner is not None and client.front.partner.name in names:
-                self._look(core, client)
-        core._run()
+                self._update_partner(core, client)
+        core._process()
 
-    def moved(self, core: base.Core, now: float, names: Iterable[str]) -> None:
-        """These partners have other plans or doors. The policy has a customer's doors from its first request until it
-        is idle, which a busy one never is; and between the two nothing must fill by the one of each."""
+    def update_plans_and_gateways(self, core: base.Core, now: float, names: Iterable[str]) -> None:
+        """Apply other plans or gateways of these partners to the policy. It takes a customer's gateways from its
+        first request and keeps them until it is idle, which a busy one never is. The buckets are refilled by the
+        former rate first, so that no time is counted by two rates."""
         quota = getattr(core.engine.policy, "quota", None)
         for name in names if quota is not None else ():
-            c, partner = quota.customers.get(crc32(name.encode())), self.credentials.partner_named(name)
-            if c is None or partner is None:
+            customer = quota.customers.get(crc32(name.encode()))
+            partner = self.credentials.partner_named(name)
+            if customer is None or partner is None:
                 continue
-            quota.change_plan(c, partner.plan, now)
-            if c.gateway_range != (partner.first_gateway, partner.gateway_count):
-                quota.refill(c, now)
+            quota.change_plan(customer, partner.plan, now)
+            if customer.gateway_range != (partner.first_gateway, partner.gateway_count):
+                quota.refill(customer, now)
                 if core.fleet is not None:
-                    let_go(core.fleet.budgets, name)
-                    core.engine.update_share(
-                        now, i.Part(name, 0.0, 0.0)
-                    )  # until the next request says what it has now
-                c.gateway_range = partner.first_gateway, partner.gateway_count
-                c.gateway_count, c.owners = quota.gateways_and_owners(c.key, *c.gateway_range)
-                quota.refill(c, now)  # no more than the new part's burst
+                    release_lease(core.fleet.budgets, name)
+                    # No share until the next request asks for one.
+                    core.engine.update_share(now, interface.Part(name, 0.0, 0.0))
+                customer.gateway_range = partner.first_gateway, partner.gateway_count
+                customer.gateway_count, customer.owners = quota.gateways_and_owners(
+                    customer.key, *customer.gateway_range
+                )
+                quota.refill(customer, now)  # limits the tokens to the burst of the new share
 
-    def renew(self, core: base.Core, now: float) -> None:
-        """As ``Core.reload`` does it, but the nodes are gone through only where their networks changed: each of
-        thousands would be told to the policy again for a plan."""
+    def reload(self, core: base.Core, now: float) -> None:
+        """Apply these settings like ``Core.reload``, but go through the nodes only if their networks changed: a
+        change of a plan need not report thousands of nodes to the policy again."""
         if self.node_networks is not core.setup.node_networks:
             core.reload(now, self)
             return
-        core._at(now)
+        core._set_time(now)
         core.setup = self
-        settings = self.settings if core.fleet is None else core.fleet.among(self.settings)
+        settings = self.settings if core.fleet is None else core.fleet.with_present_gateways(self.settings)
         core.engine.apply_settings(now, settings, self.margin_ms)
         core.load_shedder.apply_settings(self.late_ms, self.max_late_ms)
-        core._value_classes()
+        core._compute_request_values()
         core.telemetry.usage.set_partners(self.partners())
         core.telemetry.set_classes({k.name: k.aim_ms for k in self.settings.classes})
         core.telemetry.traces.apply_settings(self.trace_share, self.max_traces)
-        self.adopt(core)
-        core._run()
+        self.apply_to(core)
+        core._process()
 
-    def _look(self, core: base.Core, client: Client) -> None:
+    def _update_partner(self, core: base.Core, client: Client) -> None:
         front = client.front
-        new = self.credentials.partner_named(front.partner.name)
-        if new is not None:
-            front.partner = new
+        partner = self.credentials.partner_named(front.partner.name)
+        if partner is not None:
+            front.partner = partner
         else:
             core.counts["partners_gone"] += 1
             front.refuse_new("partner_gone")
-            core.clients.leave_if_idle(client)
+            core.clients.close_if_idle(client)
 
     def partners(self) -> Iterable[tuple[str, str]]:
+        """Name and plan of each partner."""
         return self.credentials
--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -157,7 +157,7 @@
         stopping = asyncio.create_task(live.shell.stop(0.0))
         assert await live.shell.loop.sock_recv(sock, 1) == b""
         sock.sendall(request("late"))
-        await live.until(lambda: client.drained)
+        await live.until(lambda: client.discarded_bytes)
         sock.close()
         assert await stopping is True
         assert not live.heads() and not live.core.engine.counts["requests"]
--- a/tests/edge/test_endings.py
+++ b/tests/edge/test_endings.py
@@ -60,7 +60,7 @@
         await live.until(lambda: any(k.front.partial_message for k in live.core.clients.open.values()))
         idle = await live.client()
         for client in live.core.clients.open.values():
-            client.quiet_at -= 1_000.0  # both are quiet for long; the half one for longer
+            client.last_active_at -= 1_000.0  # both are quiet for long; the half one for longer
         await live.client()
         assert await live.shell.loop.sock_recv(idle, 1) == b""
         await live.say(half, last)
@@ -78,7 +78,7 @@
         client = next(iter(live.core.clients.open.values()))
         await live.say(sock, first)
         await live.until(lambda: client.front.partial_message)
-        client.quiet_at -= 5_000.0
+        client.last_active_at -= 5_000.0
         live.core.clients._idle_http((client, 1_000.0))  # the timer, at this instant
         live.shell.carry_out()
         await live.say(sock, last)
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -79,7 +79,7 @@
         live.body = b"x" * 60_000
         sock, client, _ = await live.slow_client()
         await live.say(sock, request("one"))
-        await live.until(lambda: client.held)  # its answer waits on this side
+        await live.until(lambda: client.write_blocked)  # its answer waits on this side
         live.shell.gate.clear()
         for link in list(live.core.pool.links):
             live.core.ended(live.shell.clock(), link)
@@ -101,7 +101,7 @@
         live.body = b"x" * 60_000
         sock, client, transport = await live.slow_client()
         await live.say(sock, request())
-        await live.until(lambda: client.held)
+        await live.until(lambda: client.write_blocked)
         end(sock, "FIN")
         await live.until(lambda: transport.get_extra_info("socket").fileno() < 0)
 
--- a/tests/rollout/test_ceilings_lent.py
+++ b/tests/rollout/test_ceilings_lent.py
@@ -10,7 +10,7 @@
 
 from rushweir import interface as i
 from rushweir.budgets.records import BudgetTotal
-from rushweir.ingress.websocket import let_go
+from rushweir.ingress.websocket import release_lease
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.spenders import TERM_MS, Sharers
 from rushweir.lab.sim.world import World
@@ -61,7 +61,7 @@
         new = whole(plan, doors)
         if new != self.acts[k]:
             core = self.world.at[Sharers.place(k)].core
-            let_go(core.budgets, "a")
+            release_lease(core.budgets, "a")
             core.buckets.pop("a", None)
             self.acts[k] = new
 
