--- a/tests/edge/test_owed.py
+++ b/tests/edge/test_event_orders.py
@@ -10,14 +10,15 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from rushweir import interface as i
-from rushweir.edge.backends import Endpoint, Link, Pool
+from rushweir.edge.backend_links import Endpoint, Link
+from rushweir.edge.backends import Pool
 from rushweir.edge.front import ClientConnection
 from rushweir.ingress.clients import Clients
 from rushweir.ingress.engine import Engine
 from rushweir.policy.gateway_policy import Policy
 from rushweir.policy.quota import Quota
 from rushweir.state import Partitions
-from tests.edge.owed import Orders
+from tests.edge.event_orders import EventOrders
 
 QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
 SURE = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True, database=None,
@@ -26,7 +27,7 @@
 
 
 def test_every_request_is_answered_under_any_order_of_events():
-    run_state_machine_as_test(Orders, settings=SURE)
+    run_state_machine_as_test(EventOrders, settings=SURE)
 
 
 def two_attempts(monkeypatch):
@@ -34,10 +35,10 @@
     real = Pool._give_up
 
     def give_up(self, job, result):
-        where = self.where.get(id(job))
-        if isinstance(where, Link):
-            self._finish(where, result)
-            self.at(self.now + 1000.0, self._cut, where)
+        place = self.job_places.get(id(job))
+        if isinstance(place, Link):
+            self._end_on_link(place, result)
+            self.at(self.now + 1000.0, self._abort, place)
         else:
             real(self, job, result)
 
@@ -68,22 +69,22 @@
     real = Pool.notified
     ready = i.State.READY
     monkeypatch.setattr(Pool, "notified", lambda self, now, servers: real(
-        self, now, dict.fromkeys([*servers, *(n for n in self.nodes if n in self.where_listed)], ready)
+        self, now, dict.fromkeys([*servers, *(n for n in self.backends if n in self.listed_endpoints)], ready)
     ))  # fmt: skip
 
 
 def keeps_old_connections(monkeypatch):
     """What is open to a backend before its new start goes on carrying its requests."""
-    monkeypatch.setattr(Pool, "_abandon", lambda self, b: None)
+    monkeypatch.setattr(Pool, "_drop_unsent", lambda self, b: None)
     monkeypatch.setattr(Endpoint, "__eq__", lambda a, b: a.host == b.host)
 
 
 def no_rest(monkeypatch):
-    monkeypatch.setattr("rushweir.edge.backends.REST_MS", 0.0)
+    monkeypatch.setattr("rushweir.edge.backends.COOLDOWN_MS", 0.0)
 
 
 def forgets_halves(monkeypatch):
-    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.current is not None))
+    monkeypatch.setattr(ClientConnection, "is_busy", property(lambda self: self.open_request_id is not None))
 
 
 def sends_for_nobody(monkeypatch):
@@ -119,14 +120,14 @@
 
     def answer(self, a):
         real(self, a)
-        self.current = a.ref
+        self.open_request_id = a.ref
         real(self, a)
 
     monkeypatch.setattr(ClientConnection, "answer", answer)
 
 
 def keeps_descriptors(monkeypatch):
-    monkeypatch.setattr(Pool, "_sweep", lambda self, _: None)
+    monkeypatch.setattr(Pool, "_close_expired", lambda self, _: None)
 
 
 PLANTED = {
@@ -144,7 +145,7 @@
 def test_injected_fault_is_detected(monkeypatch, plant):
     plant(monkeypatch)
     with pytest.raises(AssertionError) as found:
-        run_state_machine_as_test(Orders, settings=HUNT)
+        run_state_machine_as_test(EventOrders, settings=HUNT)
     # A course that ends in the midst of a step leaves things held, and says that last: what ended it stands behind.
     chain, e = [], found.value
     while e is not None:
