--- a/tests/edge/test_closing.py
+++ b/tests/edge/test_closing.py
@@ -14,7 +14,7 @@
 
 from rushweir.edge.front import MIN_IDLE_MS
 from rushweir.edge.service import ACCEPTING_S
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from rushweir.ingress.clients import LINGER_MS
 from tests.edge.conftest import Edge, answer, booking, request
 from tests.edge.live import run_scenario
@@ -27,12 +27,16 @@
 
 
 def ended_without_a_word(edge, conn):
-    ends = [o for o in edge.commands if isinstance(o, c.AbortConnection | c.CloseConnection) and o.conn == conn]
+    ends = [
+        o
+        for o in edge.commands
+        if isinstance(o, commands.AbortConnection | commands.CloseConnection) and o.conn == conn
+    ]
     return bool(ends) and not edge.written(conn)
 
 
 @pytest.mark.parametrize("how", ["nothing", "a byte", "half", "all but a byte"])
-@pytest.mark.parametrize("when", ["room", "told to end", "0.7 s later"])
+@pytest.mark.parametrize("when", ["room", "shutdown begins", "0.7 s later"])
 def test_only_a_connection_without_any_bytes_is_closed_without_an_answer(when, how):
     """From its first byte on a request is awaited and served."""
     edge, data = Edge(max_clients=3), booking("one")
@@ -46,7 +50,7 @@
     else:
         edge.core.drain_clients(edge.now, edge.core.setup.settings)
         edge.turn()
-        if when != "told to end":
+        if when != "shutdown begins":
             edge.core.stop(edge.now)
             edge.turn()
         edge.advance_ms(10 * LINGER_MS)
