--- a/rushweir/budgets/__init__.py
+++ b/rushweir/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Wholes divided among ingresses, so that what all may spend is never more than the whole. No I/O, no clock."""
+"""Budgets shared by all ingresses: leases never add up to more than a budget's total. No I/O, no clock."""
--- a/rushweir/budgets/allocation.py
+++ b/rushweir/budgets/allocation.py
@@ -1,6 +1,7 @@
-"""How a whole is divided: max-min fair by demand and weight, in whole thousandths, and who owns which floor.
+"""How a total is divided: max-min fair by demand and weight, in whole thousandths, and the minimum share of each
+slot.
 
-Pure functions. What they give adds up to the whole exactly, or to less where nobody can use it.
+Pure functions. What they return adds up to the total exactly, or to less where nobody can use it.
 """
 
 from __future__ import annotations
@@ -9,61 +10,65 @@
 from functools import lru_cache
 from zlib import crc32
 
-CHANGE_TOLERANCE = 0.1  # of a part: as long as none would change by more, all stay as they are
+CHANGE_TOLERANCE = 0.1  # of an amount: as long as none would change by more, all stay as they are
 
 
-def allocate(whole: int, demands: Mapping[int, int], weights: Mapping[int, int] | None = None) -> dict[int, int]:
-    """A part for each key, none above ``whole`` together. Who demands little gets that; the rest is shared by weight
-    among those who demand more, and what is left when all have enough as well, so that a demand that grows finds
-    room. Remainders go to the first keys by order."""
-    keys = sorted(k for k, d in demands.items() if d > 0)
-    parts = dict.fromkeys(demands, 0)
-    left, hungry = whole, keys
-    while hungry and left > 0:
-        sum_ = sum(_weight(weights, k) for k in hungry)
-        full = [k for k in hungry if demands[k] * sum_ <= left * _weight(weights, k)]
-        if not full:
+def allocate(total: int, demands: Mapping[int, int], weights: Mapping[int, int] | None = None) -> dict[int, int]:
+    """Returns an amount for each key, ``total`` at most together.
+
+    A key with little demand gets its demand; the rest is shared by weight among the keys that demand more. What is
+    left when all demands are met is shared as well, so that a growing demand finds capacity. Remainders go to the
+    first keys in order."""
+    keys = sorted(key for key, demand in demands.items() if demand > 0)
+    amounts = dict.fromkeys(demands, 0)
+    left, unmet = total, keys
+    while unmet and left > 0:
+        weight_sum = sum(_weight(weights, key) for key in unmet)
+        met = [key for key in unmet if demands[key] * weight_sum <= left * _weight(weights, key)]
+        if not met:
             break
-        for k in full:
-            parts[k] = demands[k]
-            left -= demands[k]
-        hungry = [k for k in hungry if k not in full]
-    sharing = hungry or keys
-    for k, share in zip(sharing, split_by_weight(left, [_weight(weights, k) for k in sharing]), strict=True):
-        parts[k] += share
-    return parts
-
-
-def split_by_weight(whole: int, weights: list[int]) -> list[int]:
-    """A whole by weights, exactly; remainders to the first ones."""
-    sum_ = sum(weights)
-    if not sum_ or whole <= 0:
+        for key in met:
+            amounts[key] = demands[key]
+            left -= demands[key]
+        unmet = [key for key in unmet if key not in met]
+    receivers = unmet or keys
+    for key, share in zip(
+        receivers, split_by_weight(left, [_weight(weights, key) for key in receivers]), strict=True
+    ):
+        amounts[key] += share
+    return amounts
+
+
+def split_by_weight(total: int, weights: list[int]) -> list[int]:
+    """Returns a total split by weights, exactly; remainders go to the first ones."""
+    weight_sum = sum(weights)
+    if not weight_sum or total <= 0:
         return [0] * len(weights)
-    shares = [whole * w // sum_ for w in weights]
-    for k in range(whole - sum(shares)):
+    shares = [total * w // weight_sum for w in weights]
+    for k in range(total - sum(shares)):
         shares[k % len(shares)] += 1
     return shares
 
 
-def is_settled(new: Mapping[int, int], held: Mapping[int, int]) -> bool:
-    """Whether a new division is so near to what is held that nothing needs to move."""
-    if new.keys() != held.keys():
+def is_settled(new: Mapping[int, int], current: Mapping[int, int]) -> bool:
+    """Whether a new allocation is so close to the one in use that nothing needs to change."""
+    if new.keys() != current.keys():
         return False
-    return all(abs(new[k] - held[k]) <= CHANGE_TOLERANCE * max(new[k], held[k]) for k in new)
+    return all(abs(new[k] - current[k]) <= CHANGE_TOLERANCE * max(new[k], current[k]) for k in new)
 
 
-@lru_cache(maxsize=16_384)  # of each budget and number the same, and asked for at each question
-def minimum_amount(budget: int, number: int, numbers: int, whole: int, unit: int = 1) -> int:
-    """What a number owns of a floor that all numbers share: whole ``unit``s, since less than a unit serves nobody.
-    What is left over goes, a unit each, to some numbers that differ by budget."""
-    units = whole // unit
-    each, over = divmod(units, numbers)
-    rank = sum(_order(budget, n) < _order(budget, number) for n in range(numbers)) if over else 0
-    return (each + (rank < over)) * unit
+@lru_cache(maxsize=16_384)  # constant for each budget and position, and needed by each lease request
+def minimum_amount(budget: int, position: int, positions: int, amount: int, unit: int = 1) -> int:
+    """Returns what a position owns of an amount that all positions share, in whole ``unit``s, since less than a unit
+    is of no use. Remaining units go one each to some positions, which differ by budget."""
+    units = amount // unit
+    each, rest = divmod(units, positions)
+    rank = sum(_order(budget, other) < _order(budget, position) for other in range(positions)) if rest else 0
+    return (each + (rank < rest)) * unit
 
 
-def _order(budget: int, number: int) -> tuple[int, int]:
-    return crc32(b"%d %d" % (budget, number)), number
+def _order(budget: int, position: int) -> tuple[int, int]:
+    return crc32(b"%d %d" % (budget, position)), position
 
 
 def _weight(weights: Mapping[int, int] | None, key: int) -> int:
--- a/rushweir/budgets/budget_owner.py
+++ b/rushweir/budgets/budget_owner.py
@@ -1,13 +1,13 @@
-"""The home of one budget: who holds how much of it, and what is free. No I/O, no clock.
+"""The owner of one budget: which holder has leased how much, and what is free. No I/O, no clock.
 
-What a holder may spend counts here until it surely can't any more: until the holder says that it took a later grant,
-or until the time of the grant is over, counted from the answer, which is later than the question that the holder
-counts from, and with the drift of both clocks. Of two grants that a holder may have taken, the larger counts. So what
-all holders may spend is never more than the whole, however messages are lost, doubled or late.
+What a holder may use counts here until it surely cannot use it any more: until it reports that it uses a later grant,
+or until the grant has expired. The owner counts that time from its answer, which is later than the request from which
+the holder counts, and allows for the drift of both clocks. Of two grants that a holder may be using the larger
+counts. So what all holders may use never exceeds the total, however messages are lost, duplicated or delayed.
 
-Tokens move with the parts. What nobody holds fills a reserve here, and so does what spilled over at a holder whose
-bucket was full, as it tells with its next question; whose bucket lacks some gets of the reserve along with each
-answer. What was in a bucket that is taken back, or whose holder fell silent, counts as spent.
+Tokens move with the shares. What nobody holds refills a reserve here, and so does what overflowed a holder's full
+bucket, as its next request reports; a holder whose bucket is not full gets tokens of the reserve with each answer.
+Tokens in a bucket that is taken back, or whose holder fell silent, count as used.
 """
 
 from __future__ import annotations
@@ -21,15 +21,18 @@
 
 UNKNOWN_TOTAL = BudgetTotal(
     2**62, 2**62
-)  # of a holder that a predecessor knew: what it was told of the whole is not handed on
-RETAINED_SHARE = 1 / 3  # of what may be lent stays with the home, as the module keeps it at a customer's first keeper
-RESERVE_SHARE = 0.25  # of what may be lent is kept for the reserve to have room
-ADDED_SHARE = 0.5  # of the reserve goes with one grant: others will ask
-MAX_GRANTS = 8  # of one holder that may be on their way; older ones count together
+)  # of a predecessor's holder: what it reported of the total is not handed off
+# Of what may be leased stays with the owner, as the policy reserves it for a customer's first owner
+RETAINED_SHARE = 1 / 3
+RESERVE_SHARE = 0.25  # of the leasable burst is left for the reserve
+ADDED_SHARE = 0.5  # of the reserve goes with one grant; others will request some
+MAX_GRANTS = 8  # of one holder that may be in flight; older ones are merged
 
 
 @dataclass(slots=True)
 class Grant:
+    """A lease that was granted to a holder."""
+
     serial: int
     share: Share
     expires_at: float
@@ -37,157 +40,169 @@
 
 @dataclass(slots=True)
 class LeaseHolder:
-    total: BudgetTotal  # what may be lent, as it was told last
+    """What the owner knows of one holder."""
+
+    total: BudgetTotal  # what may be leased, as it reported last
     demand: int = 0
     requested_at: float = 0.0
-    spilled: int = -1  # in all, as it told last; -1: not known, and what came before is nobody's any more
-    serial: int = 0  # of its last question
-    grants: list[Grant] = field(default_factory=list)  # that it may be acting on, by serial
-    answered_serial: int = 0  # of its last question that was answered, or would have been
+    overflow: int = -1  # in all, as it reported last; -1: unknown, and earlier overflow is lost
+    serial: int = 0  # of its last request
+    grants: list[Grant] = field(default_factory=list)  # that it may be using, by serial
+    answered_serial: int = 0  # of its last request that was answered, or could not be
 
     def covered_share(self) -> Share:
-        """What it may be spending."""
-        whole = NO_SHARE
+        """Returns what the holder may be using."""
+        covered = NO_SHARE
         for g in self.grants:
-            whole = whole.covering(g.share)
-        return whole
+            covered = covered.covering(g.share)
+        return covered
 
 
 class BudgetOwner:
-    """The ledger of one budget."""
+    """The ownership state of one budget."""
 
-    def __init__(self, now: float, term_ms: float, open_at: float) -> None:
-        """Nothing is lent before ``open_at``."""
-        self.leasable, self.lease_ms, self.grants_from = BudgetTotal(0, 0), term_ms, open_at
-        self.total = self.leasable  # as it was told last, with what numbers own: its doors say whose home moves where
+    def __init__(self, now: float, lease_ms: float, grants_from: float) -> None:
+        """Nothing is leased before ``grants_from``."""
+        self.leasable, self.lease_ms, self.grants_from = BudgetTotal(0, 0), lease_ms, grants_from
+        self.total = self.leasable  # as reported last, with minimum shares; its slots determine the owner
         self.holders: dict[int, LeaseHolder] = {}
         self.reserve, self.updated_at = 0.0, now
-        self.retained = NO_SHARE  # is not lent: the home's own process has it, for all
+        self.retained = NO_SHARE  # not leased: the owner's own process uses it
         self.allocation: dict[int, int] = {}
 
     def request(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0,
-        lacks: int = 0, lasts: float = inf,
+        self, now: float, holder_id: int, serial: int, holding: int, demand: int, total: BudgetTotal,
+        overflow: int = 0, missing: int = 0, duration_ms: float = inf,
     ) -> tuple[Share, int] | None:  # fmt: skip
-        """A holder's question: it acts on the grant with the serial ``holding`` or on a later one, and demands so
-        much a second of a ``whole``, which is what may be lent, without floors that are owned. ``spilled`` is all
-        that its bucket had no room for since it began, ``lacks`` what it has room for now; ``lasts``: ms
-        for which it may act on the answer, a term at most. Its part from now on, and tokens along with it; None: not
-        open, or an old question."""
-        if not self.record_request(now, who, serial, holding, demand, whole, spilled):
+        """Handles a holder's lease request; returns its share from now on and the tokens that come with it, or None
+        if nothing may be granted yet or the request is outdated.
+
+        The holder uses the grant with the serial ``holding`` or a later one, and demands so much a second of
+        ``total``, which is what may be leased, without the minimum shares of slots. ``overflow`` is all that its
+        bucket had no capacity for since it began, ``missing`` what its bucket could take now; ``duration_ms``: how
+        long it may use the answer, a lease at most."""
+        if not self.record_request(now, holder_id, serial, holding, demand, total, overflow):
             return None
-        h = self.holders[who]
-        h.answered_serial = serial
+        holder = self.holders[holder_id]
+        holder.answered_serial = serial
         if now < self.grants_from:
             return None
-        lent = self._leased(who)
-        part = Share(
-            min(self._rate_share(who), max(0, self.leasable.rate - lent.rate)),
-            min(self._burst_share(who), max(0, self.leasable.burst - lent.burst)),
+        leased = self._leased(holder_id)
+        share = Share(
+            min(self._rate_share(holder_id), max(0, self.leasable.rate - leased.rate)),
+            min(self._burst_share(holder_id), max(0, self.leasable.burst - leased.burst)),
         )
-        if not part.burst or not part.rate:
-            part = NO_SHARE
-        if len(h.grants) >= MAX_GRANTS:
-            first, second = h.grants[:2]
-            h.grants[:2] = [
+        if not share.burst or not share.rate:
+            share = NO_SHARE
+        if len(holder.grants) >= MAX_GRANTS:
+            first, second = holder.grants[:2]
+            holder.grants[:2] = [
                 Grant(second.serial, first.share.covering(second.share), max(first.expires_at, second.expires_at))
             ]
-        h.grants.append(Grant(serial, part, now + max_under_drift(min(lasts, self.lease_ms))))
-        # The reserve has room for less now; what it gives along is in the holder's bucket, and no longer here.
+        holder.grants.append(Grant(serial, share, now + max_under_drift(min(duration_ms, self.lease_ms))))
+        # The reserve may hold less now; the tokens given along are in the holder's bucket and no longer here.
         self.reserve = min(self.reserve, self._unleased().burst)
-        add = int(min(self.reserve * ADDED_SHARE, lacks, part.burst))
-        self.reserve -= add
-        return part, add
+        added_tokens = int(min(self.reserve * ADDED_SHARE, missing, share.burst))
+        self.reserve -= added_tokens
+        return share, added_tokens
 
     def record_request(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0
+        self,
+        now: float,
+        holder_id: int,
+        serial: int,
+        holding: int,
+        demand: int,
+        total: BudgetTotal,
+        overflow: int = 0,
     ) -> bool:
-        """What a question tells, which may be answered later; whether it may still be answered."""
+        """Records what a request reports; returns whether it may still be answered, now or later."""
         self.advance(now)
-        h = self.holders.setdefault(who, LeaseHolder(whole))
-        if serial <= h.serial:
-            return serial == h.serial and serial > h.answered_serial
-        h.serial, h.demand, h.requested_at, h.total = serial, demand, now, whole
-        # Settings are read anew by one process after the other: as long as any has the smaller whole, it holds.
-        told = [x.total for x in self.holders.values()]
-        rate, burst = min(w.rate for w in told), min(w.burst for w in told)
+        holder = self.holders.setdefault(holder_id, LeaseHolder(total))
+        if serial <= holder.serial:
+            return serial == holder.serial and serial > holder.answered_serial
+        holder.serial, holder.demand, holder.requested_at, holder.total = serial, demand, now, total
+        # Processes reload settings one after the other: as long as any has the smaller total, it applies.
+        totals = [other.total for other in self.holders.values()]
+        rate, burst = min(reported.rate for reported in totals), min(reported.burst for reported in totals)
         self.retained = Share(int(rate * RETAINED_SHARE), int(burst * RETAINED_SHARE))
-        self.leasable = replace(whole, rate=rate - self.retained.rate, burst=burst - self.retained.burst)
-        h.grants = [g for g in h.grants if g.serial >= holding]
-        # A sum is told, not what came since: a question that is lost, or comes twice, changes nothing.
-        if h.spilled >= 0:
-            self.reserve = min(self.reserve + max(0, spilled - h.spilled), float(self._unleased().burst))
-        h.spilled = spilled
+        self.leasable = replace(total, rate=rate - self.retained.rate, burst=burst - self.retained.burst)
+        holder.grants = [g for g in holder.grants if g.serial >= holding]
+        # A running sum is reported, so a request that is lost or duplicated changes nothing.
+        if holder.overflow >= 0:
+            self.reserve = min(self.reserve + max(0, overflow - holder.overflow), float(self._unleased().burst))
+        holder.overflow = overflow
         return True
 
-    def lease_expiry(self, now: float, who: int) -> float:
-        """When a holder's right is over; who has none is over by now."""
-        h = self.holders.get(who)
-        return max((g.expires_at for g in h.grants), default=now) if h is not None else now
+    def lease_expiry(self, now: float, holder_id: int) -> float:
+        """Returns when the lease of a holder expires; ``now`` if it has none."""
+        holder = self.holders.get(holder_id)
+        return max((g.expires_at for g in holder.grants), default=now) if holder is not None else now
 
     def advance(self, now: float) -> None:
-        """Let time pass: grants end, the reserve fills by what nobody holds."""
-        room = self._unleased()
-        # By a clock that may run fast, and by what was free before: a grant that ended meanwhile filled elsewhere.
+        """Advances the time: grants expire, and the reserve refills by what nobody holds."""
+        unleased = self._unleased()
+        # The clock may run fast; a grant that expired meanwhile refilled the holder's bucket, so it is not counted
+        # here.
         self.reserve = min(
-            float(room.burst), self.reserve + room.rate * min_under_drift(now - self.updated_at) / 1000
+            float(unleased.burst), self.reserve + unleased.rate * min_under_drift(now - self.updated_at) / 1000
         )
         self.updated_at = now
-        for who, h in list(self.holders.items()):
-            h.grants = [g for g in h.grants if g.expires_at > now]
-            if not h.grants and now - h.requested_at > self.lease_ms:
-                del self.holders[who]
+        for holder_id, holder in list(self.holders.items()):
+            holder.grants = [g for g in holder.grants if g.expires_at > now]
+            if not holder.grants and now - holder.requested_at > self.lease_ms:
+                del self.holders[holder_id]
 
     def _unleased(self) -> Share:
-        lent = self._leased(None)
-        return Share(max(0, self.leasable.rate - lent.rate), max(0, self.leasable.burst - lent.burst))
+        leased = self._leased(None)
+        return Share(max(0, self.leasable.rate - leased.rate), max(0, self.leasable.burst - leased.burst))
 
     def _leased(self, without: int | None) -> Share:
-        whole = NO_SHARE
-        for who, h in self.holders.items():
-            if who != without:
-                whole += h.covered_share()
-        return whole
-
-    def _rate_share(self, who: int) -> int:
-        demands = {k: h.demand for k, h in self.holders.items()}
-        new = allocate(self.leasable.rate, demands)
-        if not is_settled(new, self.allocation) or sum(self.allocation.values()) > self.leasable.rate:
-            self.allocation = new
-        return self.allocation[who]
-
-    def _burst_share(self, who: int) -> int:
-        """A unit for each who demands anything, as far as there are units, since less serves nobody; the rest by the
-        roots of the demands, as the unevenness of arrivals grows. What the reserve needs stays here."""
-        whole = self.leasable.burst - int(self.leasable.burst * RESERVE_SHARE)
-        busy = {k: h.demand for k, h in self.holders.items() if h.demand > 0}
-        if who not in busy:
+        leased = NO_SHARE
+        for holder_id, holder in self.holders.items():
+            if holder_id != without:
+                leased += holder.covered_share()
+        return leased
+
+    def _rate_share(self, holder_id: int) -> int:
+        demands = {k: holder.demand for k, holder in self.holders.items()}
+        allocation = allocate(self.leasable.rate, demands)
+        if not is_settled(allocation, self.allocation) or sum(self.allocation.values()) > self.leasable.rate:
+            self.allocation = allocation
+        return self.allocation[holder_id]
+
+    def _burst_share(self, holder_id: int) -> int:
+        """One unit for each holder with demand, as far as there are units, since less is of no use; the rest by the
+        square roots of the demands, as the variance of arrivals grows. What the reserve needs stays here."""
+        available = self.leasable.burst - int(self.leasable.burst * RESERVE_SHARE)
+        demands = {k: holder.demand for k, holder in self.holders.items() if holder.demand > 0}
+        if holder_id not in demands:
             return 0
-        units = whole // UNIT
-        if units >= len(busy):
-            order = sorted(busy)
-            extra = split_by_weight(whole - len(busy) * UNIT, [isqrt(busy[k]) + 1 for k in order])
-            return UNIT + extra[order.index(who)]
-        most = sorted(busy, key=lambda k: (-busy[k], k))[:units]
-        return UNIT if who in most else 0
+        units = available // UNIT
+        if units >= len(demands):
+            order = sorted(demands)
+            extra = split_by_weight(available - len(demands) * UNIT, [isqrt(demands[k]) + 1 for k in order])
+            return UNIT + extra[order.index(holder_id)]
+        served = sorted(demands, key=lambda k: (-demands[k], k))[:units]
+        return UNIT if holder_id in served else 0
 
-    # --- handing over ----------------------------------------------------------------------------
+    # --- handoff ---------------------------------------------------------------------------------
 
     def ownership_state(self, now: float) -> list[list[int]]:
-        """What a successor has to count, as rows: holder, serial, rate, burst, time left."""
+        """Returns what a successor has to count, as rows: holder, serial, rate, burst, time left."""
         self.advance(now)
         rows = []
-        for who, h in self.holders.items():
-            left = max((g.expires_at for g in h.grants), default=now) - now
-            # Also what a predecessor granted, from which the holder asked nothing here yet.
-            serial = max([h.serial, *(g.serial for g in h.grants)])
-            rows.append([who, serial, *astuple(h.covered_share()), int(left) + 1])
+        for holder_id, holder in self.holders.items():
+            left_ms = max((g.expires_at for g in holder.grants), default=now) - now
+            # Includes the grants of a predecessor whose holder has requested nothing here yet.
+            serial = max([holder.serial, *(g.serial for g in holder.grants)])
+            rows.append([holder_id, serial, *astuple(holder.covered_share()), int(left_ms) + 1])
         return rows
 
     def restore(self, now: float, rows: list[list[int]], wait_ms: float = 0.0) -> None:
-        """Go on from a predecessor's ledger, at once or after what is left of its wait."""
-        for who, serial, rate, burst, left in rows:
-            # Under the latest serial: whichever of the predecessor's grants it acts on, this covers it.
-            grant = Grant(serial, Share(rate, burst), now + max_under_drift(left))
-            self.holders[who] = LeaseHolder(UNKNOWN_TOTAL, 0, now, -1, 0, [grant] if rate or burst else [])
+        """Continues from a predecessor's ownership state, at once or after the rest of its wait."""
+        for holder_id, serial, rate, burst, left_ms in rows:
+            # Under the latest serial, which covers whichever of the predecessor's grants the holder uses.
+            grant = Grant(serial, Share(rate, burst), now + max_under_drift(left_ms))
+            self.holders[holder_id] = LeaseHolder(UNKNOWN_TOTAL, 0, now, -1, 0, [grant] if rate or burst else [])
         self.grants_from = min(self.grants_from, now + max_under_drift(wait_ms))
--- a/rushweir/budgets/status.py
+++ b/rushweir/budgets/status.py
@@ -1,4 +1,4 @@
-"""How one process sees the budgets that it shares, for operators: plain rows. No I/O."""
+"""A process's view of the budgets that it shares for operators, as plain rows. No I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 def rows(budgets: Budgets, now: float) -> Iterator[dict[str, Any]]:
-    """Each budget that is known here; units and units a second."""
-    for key, h in budgets.held_leases.items():
-        floor, lease = budgets.minimum_share(key, h.total), h.share if now < h.expires_at else NO_SHARE
+    """Yields each budget known here, in units and units a second; the keys are part of the operators' interface."""
+    for key, held in budgets.held_leases.items():
+        minimum, lease = budgets.minimum_share(key, held.total), held.share if now < held.expires_at else NO_SHARE
         yield {
-            "name": h.name, "rate": h.total.rate / UNIT, "floor": floor.rate / UNIT, "lent": lease.rate / UNIT,
-            "demand": round(h.demand.per_s(now) / UNIT, 2),
-            "home": budgets.owner_of(key, h.total) == budgets.fleet.me,
+            "name": held.name, "rate": held.total.rate / UNIT,
+            "floor": minimum.rate / UNIT, "lent": lease.rate / UNIT,
+            "demand": round(held.demand.per_s(now) / UNIT, 2),
+            "home": budgets.owner_of(key, held.total) == budgets.fleet.me,
         }  # fmt: skip
--- a/tests/fleet/test_serve.py
+++ b/tests/fleet/test_serve.py
@@ -143,6 +143,6 @@
         (h.tmp / "run" / "fleet").write_bytes(b"torn")
         process = await h.spawn()
         assert await asyncio.wait_for(process.wait(), 20) == 1
-        assert b"not a kept view" in (h.tmp / "errors.txt").read_bytes()
+        assert b"not a stored view" in (h.tmp / "errors.txt").read_bytes()
 
     house(body)
