--- a/tests/fleet/test_noise.py
+++ b/tests/fleet/test_noise.py
@@ -69,7 +69,7 @@
 def test_who_hears_of_a_newer_view_asks_for_it(monkeypatch, kind, found):
     """Without comparisons, and with all rumours told: only asking is left. The chair's answer alone does not do."""
     monkeypatch.setattr(Exchange, "_compare", lambda self, _: None)
-    monkeypatch.setattr("rushweir.fleet.core.retransmit_limit", lambda slot_count: 1)
+    monkeypatch.setattr("rushweir.fleet.sending.retransmit_limit", lambda slot_count: 1)
     assert len(views(*behind(kind), 21_000.0)) == found
 
 
