--- a/rushweir/daemon/rollout_files.py
+++ b/rushweir/daemon/rollout_files.py
@@ -19,7 +19,7 @@
 from rushweir.rollout.ceilings import Between
 from rushweir.rollout.change_sets import Key
 from rushweir.rollout.kept import Append, Kept
-from rushweir.rollout.watching import Keep
+from rushweir.rollout.watching_commands import Keep
 
 BOOK, LOG, BETWEEN = "rollout.book", "rollout.log", "rollout.between"
 
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -34,7 +34,8 @@
 from rushweir.rollout.change_sets import Change
 from rushweir.rollout.kept import Kept, Rewrite
 from rushweir.rollout.watch_mail import MOST_MESSAGE
-from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
 from rushweir.rollout.watching_links import Connect, Disconnect
 from rushweir.rollout.weighing import Weighing
 
--- a/rushweir/lab/sim/rollout_world.py
+++ b/rushweir/lab/sim/rollout_world.py
@@ -23,7 +23,8 @@
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Rates, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Apply, Keep, Send, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep, Send
 from rushweir.rollout.watching_links import Connect, Disconnect
 
 KEY = b"the days' own key"
--- a/rushweir/rollout/watching.py
+++ b/rushweir/rollout/watching.py
@@ -25,15 +25,14 @@
 
 import random
 from collections import Counter, deque
-from collections.abc import Mapping
-from dataclasses import dataclass, field
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.book import DIGEST, BookError, sound
-from rushweir.rollout.change_sets import Change, ChangeSetError, Key
-from rushweir.rollout.kept import Append, Kept, Rewrite
-from rushweir.rollout.watching_ahead import Ahead, Delta, Frozen, of_marks
+from rushweir.rollout.change_sets import ChangeSetError, Key
+from rushweir.rollout.kept import Kept
+from rushweir.rollout.watching_ahead import Ahead, Delta, of_marks
+from rushweir.rollout.watching_commands import Apply, Keep, Note, Refusal, Send
 from rushweir.rollout.watching_links import Connect, Disconnect, Links
 from rushweir.rollout.weighing import LARGE, Weighing, step_of
 
@@ -45,56 +44,6 @@
 MOST_BAD = 5  # messages in a row
 
 
-@dataclass(frozen=True, slots=True)
-class Send:
-    conn: int
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class Apply:
-    """All of it or nothing, answered by ``applied`` or ``refused``."""
-
-    what: Frozen
-    version: int
-
-    @property
-    def changes(self) -> tuple[Change, ...]:
-        """Worked out when first asked for; may be beside the loop, which takes 1 ms for 60 objects."""
-        return self.what.changes
-
-    @property
-    def passed(self) -> Mapping[Key, tuple[bytes, ...] | None]:
-        """What objects were in versions between; None: not known."""
-        return self.what.passed
-
-
-@dataclass(frozen=True, slots=True)
-class Keep:
-    """For the disk, in the order given; answered by ``kept`` or ``keep_failed``."""
-
-    what: Append | Rewrite
-    version: int
-
-
-@dataclass(frozen=True, slots=True)
-class Note:
-    level: str
-    event: str
-    fields: dict[str, Any] = field(default_factory=dict)
-
-
-@dataclass(frozen=True, slots=True)
-class Refusal:
-    version: int
-    key: Key
-    field: str
-    text: str
-
-    def why(self) -> str:
-        return f"{' '.join(self.key)}: {self.field}: {self.text}"[: mail.MOST_TEXT]
-
-
 class Watching:
     def __init__(
         self, now: float, name: str, controls: tuple[str, ...], kept: Kept, key: bytes = b"", seed: int = 0
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -10,7 +10,8 @@
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
 from rushweir.rollout.watching_links import Connect, Disconnect
 
 KEY = b"a key of the test"
--- a/tests/rollout/test_watching.py
+++ b/tests/rollout/test_watching.py
@@ -10,7 +10,8 @@
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept, Rewrite
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Apply, Keep, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep
 from tests.rollout.conftest import KEY, Ingress, Scene, whom
 
 
--- a/tests/rollout/test_weighing.py
+++ b/tests/rollout/test_weighing.py
@@ -20,8 +20,9 @@
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.watching import Apply, Watching
+from rushweir.rollout.watching import Watching
 from rushweir.rollout.watching_ahead import Ahead
+from rushweir.rollout.watching_commands import Apply
 from rushweir.rollout.weighing import LARGE, Weighing
 from tests.rollout.conftest import KEY, Scene
 
