--- a/rushweir/fleet/core.py
+++ b/rushweir/fleet/core.py
@@ -20,8 +20,7 @@
 
 import msgpack
 
-from rushweir.fleet import commands
-from rushweir.fleet import frame as f
+from rushweir.fleet import commands, frame
 from rushweir.fleet.drift import max_under_drift, min_under_drift
 from rushweir.fleet.exchange import ROWS_BYTES, Exchange
 from rushweir.fleet.handlers import HANDLERS
@@ -52,7 +51,7 @@
         StoredViewError."""
         self.settings, self.now, self.rng = settings, now, random.Random(seed)
         self.me = self.rng.getrandbits(63) + 1
-        self.frames = f.Frames(self.me, key, settings.max_entries)
+        self.frames = frame.Frames(self.me, key, settings.max_entries)
         self.commands: deque[commands.Command] = deque()
         self.counts: Counter[str] = Counter()
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
@@ -132,7 +131,7 @@
         self.members.on_datagram(sender)
         member = self.members.known.get(sender)
         if member is not None and member.state == DEAD and self.may_send():
-            self.send(f.ROWS, sender, [[self.table.row((MEMBER, sender))]])  # so that it objects
+            self.send(frame.ROWS, sender, [[self.table.row((MEMBER, sender))]])  # so that it objects
 
     # --- other members ---------------------------------------------------------------------------
 
@@ -234,7 +233,7 @@
         if len(pages) * len(others) <= self.settings.per_s * BROADCAST_BUDGET_S:
             for member in others:
                 for page in pages:
-                    self.send(f.ROWS, member.id, [page])
+                    self.send(frame.ROWS, member.id, [page])
         self.view_ballot = self.view_manager.ballot
         self._adopt_view()
 
@@ -305,7 +304,7 @@
                 receivers = [leader] if leader is not None and leader.state <= SUSPECT else self.other_seeds()
                 for member in self.rng.sample(receivers, min(1, len(receivers))):
                     self.send(
-                        f.SLOT_REQUEST,
+                        frame.SLOT_REQUEST,
                         member.id,
                         [*settings.address, settings.wanted_slot, [self.table.row((MEMBER, self.me))]],
                     )
@@ -346,7 +345,7 @@
                 self._finish_leaving()
                 return
         elif (leader := self.members.known.get(self.leader_id())) is not None:
-            self.send(f.SLOT_RELEASE, leader.id, [])
+            self.send(frame.SLOT_RELEASE, leader.id, [])
         self.call_after(SLOT_RELEASE_INTERVAL_MS, lambda _: self._release_slot(), None)
 
     def _finish_leaving(self) -> None:
@@ -355,7 +354,7 @@
             self.leader_lease.release()
         others = self.members.alive()
         for member in self.rng.sample(others, min(3, len(others))):
-            self.send(f.ROWS, member.id, [[self.table.row((MEMBER, self.me))]])
+            self.send(frame.ROWS, member.id, [[self.table.row((MEMBER, self.me))]])
         self.left = True
 
     def slot_released(self) -> None:
--- a/rushweir/fleet/exchange.py
+++ b/rushweir/fleet/exchange.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.members import ALIVE, SUSPECT
 from rushweir.fleet.message_budget import MessageBudget
 from rushweir.fleet.settings import COMPARE_INTERVAL_MS, JOIN_INTERVAL_MS
@@ -15,8 +15,8 @@
     from rushweir.fleet.core import Fleet
 
 # Of rows and of versions in a datagram.
-ROWS_BYTES, VERSIONS_BYTES = f.MAX_BODY_BYTES - 8, f.MAX_BODY_BYTES - 16
-SKETCH_BYTES = f.MAX_BODY_BYTES - 8  # of short hashes and bucket numbers in a datagram
+ROWS_BYTES, VERSIONS_BYTES = frame.MAX_BODY_BYTES - 8, frame.MAX_BODY_BYTES - 16
+SKETCH_BYTES = frame.MAX_BODY_BYTES - 8  # of short hashes and bucket numbers in a datagram
 MAX_BUCKETS_PER_COMPARISON = 2  # buckets whose versions one comparison exchanges
 BUSY_COMPARE_INTERVAL_MS = 200.0  # to the next comparison after one that brought new rows
 # Of the buckets: if more differ, about as many rows are missing as their versions would take.
@@ -49,7 +49,7 @@
             for address in lost:
                 # After a partition all members of a side lack the same seeds: it suffices that some of them try.
                 if few or self.rng.random() < JOIN_SHARE:
-                    fleet.send_to(address, f.JOIN, f.ANY_RECEIVER, [fleet.table.row((MEMBER, fleet.me))])
+                    fleet.send_to(address, frame.JOIN, frame.ANY_RECEIVER, [fleet.table.row((MEMBER, fleet.me))])
         fleet.call_after(JOIN_INTERVAL_MS * self.rng.uniform(0.8, 1.2), self._join, None)
 
     def reply_to_join(self, to: int, address: tuple[str, int] | None = None) -> None:
@@ -60,7 +60,7 @@
             return
         others = [(MEMBER, member.id) for member in known.values() if member.state == ALIVE and member.id != fleet.me]
         keys = [(MEMBER, fleet.me), *self.rng.sample(others, min(JOIN_REPLY_MEMBERS, len(others)))]
-        fleet.send_to(address, f.JOIN_REPLY, to, [paginate([fleet.table.row(k) for k in keys], ROWS_BYTES)[0]])
+        fleet.send_to(address, frame.JOIN_REPLY, to, [paginate([fleet.table.row(k) for k in keys], ROWS_BYTES)[0]])
 
     def _compare(self, _: object) -> None:
         alive = self.fleet.members.alive()
@@ -90,7 +90,7 @@
         return True
 
     def _send_digest(self, to: int, wants_rows: bool) -> None:
-        self.fleet.send(f.DIGEST, to, [self.fleet.table.digest(), wants_rows])
+        self.fleet.send(frame.DIGEST, to, [self.fleet.table.digest(), wants_rows])
 
     def on_digest(self, sender: int, digest: bytes, wants_rows: bool) -> None:
         """A digest of another member came.
@@ -130,7 +130,7 @@
                 sent.append(bucket)
                 hashes += bucket_hashes
         if sent:
-            self.fleet.send(f.SKETCH, to, [sent, hashes, wants_reply])
+            self.fleet.send(frame.SKETCH, to, [sent, hashes, wants_reply])
         elif wants_reply:
             self._send_digest(to, True)  # no bucket fits: ask for whole rows
 
@@ -152,7 +152,7 @@
         sent = 0
         for page in paginate(rows, ROWS_BYTES)[:max_datagrams]:
             if self.fleet.may_send():
-                self.fleet.send(f.ROWS, to, [page])
+                self.fleet.send(frame.ROWS, to, [page])
                 sent += 1
         return sent
 
@@ -162,7 +162,7 @@
         keys = [(VIEW_HEADER, 0), (MEMBER, fleet.leader_id())]
         rows = [fleet.table.row(k) for k in keys if fleet.table.get(*k) is not None]
         if rows and fleet.may_send():
-            fleet.send(f.ROWS, to, [rows])
+            fleet.send(frame.ROWS, to, [rows])
 
     def send_versions(self, to: int, bucket: int, versions: list, wants_reply: bool) -> None:
         """Sends versions of a bucket; with ``wants_reply`` the receiver names what it lacks. Of a large bucket a
@@ -172,7 +172,7 @@
         if not is_complete:
             self.rng.shuffle(versions)
             pages = paginate(versions, VERSIONS_BYTES)
-        self.fleet.send(f.VERSIONS, to, [bucket, is_complete and wants_reply, wants_reply, pages[0]])
+        self.fleet.send(frame.VERSIONS, to, [bucket, is_complete and wants_reply, wants_reply, pages[0]])
 
     def on_versions(self, sender: int, bucket: int, is_complete: bool, wants_reply: bool, theirs: list) -> None:
         """Versions of a bucket came: sends the rows that the sender lacks and asks for those lacking here."""
--- a/rushweir/fleet/handlers.py
+++ b/rushweir/fleet/handlers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.leader_lease import NOBODY
 from rushweir.fleet.members import unpack
 from rushweir.fleet.table import MEMBER
@@ -36,7 +36,7 @@
     """A seed answered a JOIN with rows of some members."""
     fleet.merge(body[0])
     if fleet.members.known.get(sender) is not None and not fleet.leaving:
-        fleet.send(f.ROWS, sender, [[fleet.table.row((MEMBER, fleet.me))]])
+        fleet.send(frame.ROWS, sender, [[fleet.table.row((MEMBER, fleet.me))]])
 
 
 def probe(fleet: Fleet, sender: int, body: list) -> None:
@@ -45,7 +45,7 @@
     fleet.merge(rows)
     fleet.exchange.on_view_report(sender, as_int(view))
     if not fleet.left:
-        fleet.send(f.PROBE_ACK, sender, [as_int(number), *fleet.view_report(), fleet.piggyback_rows(sender)])
+        fleet.send(frame.PROBE_ACK, sender, [as_int(number), *fleet.view_report(), fleet.piggyback_rows(sender)])
 
 
 def probe_ack(fleet: Fleet, sender: int, body: list) -> None:
@@ -103,7 +103,7 @@
         answer = fleet.lease_acceptor.prepare(fleet.now, as_int(body[0]))
         if answer is not None:
             fleet.send(
-                f.PROMISE,
+                frame.PROMISE,
                 sender,
                 [body[0], *answer, fleet.view_manager.stored.number, fleet.lease_acceptor.promised_ballot],
             )
@@ -123,7 +123,7 @@
     if fleet.lease_acceptor is not None and not fleet.leaving:
         is_accepted = fleet.lease_acceptor.propose(fleet.now, as_int(body[0]), sender)
         if is_accepted is not None:
-            fleet.send(f.ACCEPT, sender, [body[0], is_accepted])
+            fleet.send(frame.ACCEPT, sender, [body[0], is_accepted])
 
 
 def accept(fleet: Fleet, sender: int, body: list) -> None:
@@ -215,11 +215,29 @@
 
 
 HANDLERS: dict[int, Callable[[Any, int, list], None]] = {
-    f.JOIN: join, f.JOIN_REPLY: join_reply, f.PROBE: probe, f.PROBE_ACK: probe_ack,
-    f.INDIRECT_PROBE: indirect_probe, f.INDIRECT_ACK: indirect_ack, f.INDIRECT_NACK: indirect_nack,
-    f.DIGEST: digest, f.VERSIONS: versions, f.SKETCH: sketch, f.ROWS: rows,
-    f.PREPARE: prepare, f.PROMISE: promise, f.PROPOSE: propose, f.ACCEPT: accept, f.LEASE_RELEASE: lease_release,
-    f.VIEW_PROPOSE: view_propose, f.VIEW_ACCEPT: view_accept, f.VIEW_FETCH: view_fetch, f.VIEW_PAGE: view_page,
-    f.SLOT_REQUEST: slot_request, f.SLOT_REFUSED: slot_refused, f.SLOT_RELEASE: slot_release,
-    f.SLOT_RELEASED: slot_released, f.APP: app,
-}  # fmt: skip
+    frame.JOIN: join,
+    frame.JOIN_REPLY: join_reply,
+    frame.PROBE: probe,
+    frame.PROBE_ACK: probe_ack,
+    frame.INDIRECT_PROBE: indirect_probe,
+    frame.INDIRECT_ACK: indirect_ack,
+    frame.INDIRECT_NACK: indirect_nack,
+    frame.DIGEST: digest,
+    frame.VERSIONS: versions,
+    frame.SKETCH: sketch,
+    frame.ROWS: rows,
+    frame.PREPARE: prepare,
+    frame.PROMISE: promise,
+    frame.PROPOSE: propose,
+    frame.ACCEPT: accept,
+    frame.LEASE_RELEASE: lease_release,
+    frame.VIEW_PROPOSE: view_propose,
+    frame.VIEW_ACCEPT: view_accept,
+    frame.VIEW_FETCH: view_fetch,
+    frame.VIEW_PAGE: view_page,
+    frame.SLOT_REQUEST: slot_request,
+    frame.SLOT_REFUSED: slot_refused,
+    frame.SLOT_RELEASE: slot_release,
+    frame.SLOT_RELEASED: slot_released,
+    frame.APP: app,
+}
--- a/rushweir/fleet/leader_lease.py
+++ b/rushweir/fleet/leader_lease.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.drift import max_under_drift, min_under_drift
 from rushweir.fleet.views import SEED_BITS
 
@@ -119,7 +119,7 @@
         counter = (max(int(self.highest_ballot), self.acceptor.promised_ballot) >> SEED_BITS) + 1
         self.round = Round(counter << SEED_BITS | self.seed_index, now)
         for peer in fleet.other_seeds():
-            fleet.send(f.PREPARE, peer.id, [self.round.ballot])
+            fleet.send(frame.PREPARE, peer.id, [self.round.ballot])
         answer = self.acceptor.prepare(now, self.round.ballot)
         if answer is not None:
             self.on_promise(fleet.me, self.round.ballot, answer[0], answer[1], fleet.view_manager.stored.number, 0)
@@ -144,7 +144,7 @@
             return
         round_.phase, round_.started_at, round_.votes = PROPOSING, now, set()
         for peer in fleet.other_seeds():
-            fleet.send(f.PROPOSE, peer.id, [ballot])
+            fleet.send(frame.PROPOSE, peer.id, [ballot])
         if self.acceptor.propose(now, ballot, fleet.me):
             self.on_accept(fleet.me, ballot, True)
 
@@ -170,4 +170,4 @@
             self.expires_at, self.round = self.fleet.now, None
             self.acceptor.release(self.fleet.me)
             for peer in self.fleet.other_seeds():
-                self.fleet.send(f.LEASE_RELEASE, peer.id, [])
+                self.fleet.send(frame.LEASE_RELEASE, peer.id, [])
--- a/rushweir/fleet/members.py
+++ b/rushweir/fleet/members.py
@@ -25,7 +25,7 @@
 
 import msgpack
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.settings import (
     FORGET_AFTER_MS,
     INDIRECT_PROBE_COUNT,
@@ -211,7 +211,7 @@
         if (target := self._next_target()) is not None:
             self.serial += 1
             self.pending_probe, self.missing_helpers = (self.serial, target), None
-            self.fleet.send_probe(f.PROBE, target, self.serial)
+            self.fleet.send_probe(frame.PROBE, target, self.serial)
             self.fleet.call_after(
                 PROBE_TIMEOUT_MS * (1 + self.health / 4), self._probe_indirectly, self.pending_probe
             )
@@ -238,7 +238,7 @@
             and leader_member.state <= SUSPECT
         ):
             self.serial += 1
-            fleet.send_probe(f.PROBE, leader, self.serial)
+            fleet.send_probe(frame.PROBE, leader, self.serial)
 
     def _next_target(self) -> int | None:
         while self.probe_order:
@@ -276,7 +276,7 @@
         helpers = sorted(others, key=lambda member_id: member_id not in recent)[:INDIRECT_PROBE_COUNT]
         self.missing_helpers = recent.intersection(helpers) or None
         for helper in helpers:
-            self.fleet.send(f.INDIRECT_PROBE, helper, [probe[0], probe[1]])
+            self.fleet.send(frame.INDIRECT_PROBE, helper, [probe[0], probe[1]])
 
     def on_indirect_probe(self, sender: int, number: int, target: int) -> None:
         """Another member could not reach the target and asks whether this one can."""
@@ -285,13 +285,13 @@
             return
         self.serial += 1
         self.indirect_probes[self.serial] = (sender, number, target)
-        self.fleet.send_probe(f.PROBE, target, self.serial)
+        self.fleet.send_probe(frame.PROBE, target, self.serial)
         self.fleet.call_after(PROBE_TIMEOUT_MS, self._send_nack, self.serial)
 
     def _send_nack(self, number: int) -> None:
         """The target does not answer this member either, so the asker may consider itself healthy."""
         if (request := self.indirect_probes.get(number)) is not None:
-            self.fleet.send(f.INDIRECT_NACK, request[0], [request[1], request[2]])
+            self.fleet.send(frame.INDIRECT_NACK, request[0], [request[1], request[2]])
 
     def on_datagram(self, sender: int) -> None:
         """A datagram of any kind came from a member."""
@@ -306,7 +306,7 @@
             self.pending_probe = None
             self.health = max(0, self.health - 1)
         elif (request := self.indirect_probes.pop(number, None)) is not None and request[2] == sender:
-            self.fleet.send(f.INDIRECT_ACK, request[0], [request[1], sender])
+            self.fleet.send(frame.INDIRECT_ACK, request[0], [request[1], sender])
 
     def on_indirect_ack(self, number: int, target: int) -> None:
         """A helper reached the target of the pending probe."""
--- a/rushweir/fleet/sending.py
+++ b/rushweir/fleet/sending.py
@@ -4,14 +4,14 @@
 
 from collections import Counter, OrderedDict, deque
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.commands import Command, SendTo
 from rushweir.fleet.members import SUSPECT, Members
 from rushweir.fleet.message_budget import MessageBudget
 from rushweir.fleet.settings import FleetSettings, retransmit_limit
 from rushweir.fleet.table import MEMBER, Table, packed_size
 
-PIGGYBACK_BYTES = f.MAX_BODY_BYTES - 44  # of rows in a probe or its answer
+PIGGYBACK_BYTES = frame.MAX_BODY_BYTES - 44  # of rows in a probe or its answer
 MAX_PROBES_TRACKED = 256  # probes whose answers are awaited
 PEER_MESSAGE_COST = 0.25  # what one quota message costs of the fleet's budget
 
@@ -22,7 +22,7 @@
     now: float
     me: int
     settings: FleetSettings
-    frames: f.Frames
+    frames: frame.Frames
     commands: deque[Command]
     counts: Counter[str]
     members: Members
@@ -76,7 +76,7 @@
             return
         self.app_budget.spend(self.now)
         self.counts["apps_sent"] += 1
-        self.commands.append(SendTo(member.address, self.frames.pack(f.APP, to, [topic, *body])))
+        self.commands.append(SendTo(member.address, self.frames.pack(frame.APP, to, [topic, *body])))
 
     def send_probe(self, kind: int, to: int, number: int) -> None:
         """Sends a probe with a number of its sender's."""
--- a/rushweir/fleet/view_manager.py
+++ b/rushweir/fleet/view_manager.py
@@ -20,7 +20,7 @@
 
 import msgpack
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.drift import max_under_drift
 from rushweir.fleet.members import DEAD, LEFT
 from rushweir.fleet.settings import suspicion_ms
@@ -129,10 +129,10 @@
         is_outdated = ballot < acceptor.promised_ballot and acceptor.current_holder(self.fleet.now) != sender
         if is_outdated or number <= self.stored.number:
             # Also answered for a view that is already stored: the first answer may have been lost.
-            self.fleet.send(f.VIEW_ACCEPT, sender, [number, number == self.stored.number, self.stored.number])
+            self.fleet.send(frame.VIEW_ACCEPT, sender, [number, number == self.stored.number, self.stored.number])
             return
         if base not in (0, self.stored.number):
-            self.fleet.send(f.VIEW_ACCEPT, sender, [number, False, self.stored.number])
+            self.fleet.send(frame.VIEW_ACCEPT, sender, [number, False, self.stored.number])
             return
         if any(v.number == number for v, _ in self.pending_saves.values()):
             return
@@ -142,7 +142,7 @@
         if view.digest() == digest:
             self._store(view, sender)
         else:
-            self.fleet.send(f.VIEW_ACCEPT, sender, [number, False, 0])
+            self.fleet.send(frame.VIEW_ACCEPT, sender, [number, False, 0])
 
     def _store(self, view: View, asker: int) -> None:
         self.serial += 1
@@ -158,13 +158,13 @@
             if asker == self.fleet.me:
                 self.on_accept(asker, view.number, True, view.number)
             else:
-                self.fleet.send(f.VIEW_ACCEPT, asker, [view.number, True, view.number])
+                self.fleet.send(frame.VIEW_ACCEPT, asker, [view.number, True, view.number])
 
     def on_fetch(self, sender: int, number: int) -> None:
         """A new leader asks for the stored view."""
         if number == self.stored.number:
             for page in self._paginate_changes(View(), self.stored):
-                self.fleet.send(f.VIEW_PAGE, sender, [number, self.stored.digest(), *page])
+                self.fleet.send(frame.VIEW_PAGE, sender, [number, self.stored.digest(), *page])
 
     @staticmethod
     def _paginate_changes(old: View, new: View) -> list[list]:
@@ -214,7 +214,7 @@
             base = View() if is_complete else self.base
             for page in self._paginate_changes(base, view):
                 body = [self.ballot, view.number, base.number, view.digest(), *page]
-                self.fleet.send(f.VIEW_PROPOSE, voter.id, body)
+                self.fleet.send(frame.VIEW_PROPOSE, voter.id, body)
 
     def on_accept(self, voter: int, number: int, is_stored: bool, stored_number: int) -> None:
         """A seed stored the proposal, or refused it and names the view that it stores. With a majority the view is in
@@ -241,7 +241,7 @@
             del self.slot_requests[process]
             self._push_view(process)
         for process in [i for i in self.left if view.slot_of(i) < 0]:
-            fleet.send(f.SLOT_RELEASED, process, [])
+            fleet.send(frame.SLOT_RELEASED, process, [])
 
     def _accepting_seeds(self) -> list:
         fleet = self.fleet
@@ -255,7 +255,7 @@
         keys = [(VIEW_HEADER, 0), (SLOT, slot), *((SLOT, k) for k in others)]
         rows = [table.row(k) for k in keys if table.get(*k) is not None]
         for page in paginate(rows, PAGE_BYTES)[:MAX_PUSHED_DATAGRAMS]:
-            self.fleet.send(f.ROWS, receiver, [page])
+            self.fleet.send(frame.ROWS, receiver, [page])
 
     def tick(self, _: object = None) -> None:
         """Repeats what was not answered, proposes the next view, and closes when the lease expired."""
@@ -264,7 +264,7 @@
             self.state = CLOSED
         if self.state == FETCHING and now >= self.sent_at + RESEND_MS:
             self.sent_at = now
-            fleet.send(f.VIEW_FETCH, self.source[1], [self.source[0]])
+            fleet.send(frame.VIEW_FETCH, self.source[1], [self.source[0]])
             if now > self.opened_at + fleet.settings.leader_lease_ms:
                 fleet.leader_lease.release()  # the seed that had the view is gone; another round finds another
         elif self.state == PROPOSING and now >= self.sent_at + RESEND_MS:
@@ -294,7 +294,7 @@
         )
         for process, why in refused.items():
             self.slot_requests.pop(process, None)
-            fleet.send(f.SLOT_REFUSED, process, [why])
+            fleet.send(frame.SLOT_REFUSED, process, [why])
         self.left = {i: t for i, t in self.left.items() if now - t < hold_ms}
         if new != slots:
             self._propose(new)
@@ -317,7 +317,7 @@
             return
         self.slot_requests.pop(process, None)
         if self.state == OPEN and self.latest.slot_of(process) < 0:
-            self.fleet.send(f.SLOT_RELEASED, process, [])
+            self.fleet.send(frame.SLOT_RELEASED, process, [])
         if len(self.left) < 2 * self.fleet.settings.slot_count:
             self.left.setdefault(process, self.fleet.now)
 
--- a/tests/budgets/test_halved.py
+++ b/tests/budgets/test_halved.py
@@ -1,4 +1,4 @@
-"""A whole that is halved by reload while half of the processes is cut off, judged from what each wrote down."""
+"""A total that is halved by reload while half of the processes is cut off, judged from their logs."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
 DAY = Path(__file__).parent / "halved.day"
 LARGE, SMALL = ("ceiling-rate 16/s", "ceiling-burst 32"), ("ceiling-rate 8/s", "ceiling-burst 16")
-FLOOR = 1_000  # thousandths a second that each of four numbers owns of the larger: a quarter of it together
-RELOADS = {0: 7_000.0, 1: 7_600.0, 2: 15_000.0, 3: 15_200.0}  # two while the others are away, those when it is over
+# Thousandths a second that each of four slots owns of the larger total: a quarter of it together
+MINIMUM_RATE = 1_000
+RELOADS = {0: 7_000.0, 1: 7_600.0, 2: 15_000.0, 3: 15_200.0}  # two while the others are cut off, those afterwards
 
 
 async def play(folder: Path) -> dict[int, float]:
-    """When each ingress had read the halved settings."""
+    """Plays the day; returns when each ingress had read the halved settings."""
     serve = [sys.executable, "-m", "rushweir", "serve", "--log", "json"]
     stage, read = Stage(load(DAY), folder, serve), dict[int, float]()
 
@@ -29,13 +30,13 @@
         await asyncio.sleep(max(0.0, stage.start_at + at - clock()) / 1000)
         file = folder / f"ingress-{k}.conf"
         text = file.read_text()
-        text = text.replace("log {", "log {\n    form json")  # from a reload on the settings' own form holds
+        text = text.replace("log {", "log {\n    form json")  # a reload applies the settings' own form
         for old, new in zip(LARGE, SMALL, strict=True):
             assert old in text
             text = text.replace(old, new)
         file.write_text(text)
-        told = await stage.ask(k, "reload")
-        assert told["changes"], told
+        answer = await stage.ask(k, "reload")
+        assert answer["changes"], answer
         read[k] = clock()
 
     try:
@@ -62,13 +63,13 @@
 
 
 def acting(read: dict[int, float], parts: list, facts: dict, partner: str) -> float:
-    """Since when all act on the half of a partner's whole: each from its first request after its reload on, as the
-    floor in its lines says."""
+    """Since when all processes act on half of a partner's total: each from its first request after its reload, as the
+    minimum share in its log lines shows."""
     since = []
     for k, at in read.items():
         lines = [p for p in parts if p["place"] == facts["places"][k] and p["partner"] == partner]
-        assert max(p["owned_rate"] for p in lines) == FLOOR
-        since.append(min(p["t"] for p in lines if p["t"] >= at and p["owned_rate"] == FLOOR / 2))
+        assert max(p["owned_rate"] for p in lines) == MINIMUM_RATE
+        since.append(min(p["t"] for p in lines if p["t"] >= at and p["owned_rate"] == MINIMUM_RATE / 2))
     return max(since)
 
 
@@ -77,14 +78,14 @@
     return {**facts, "plans": plans}
 
 
-def test_while_some_act_on_each_the_larger_whole_holds(played):
+def test_shares_stay_within_larger_total_during_reload(played):
     _, parts, records, facts = played
     found = check_parts(parts, records, facts)
     assert found.kept and found.changes > 100, "\n".join(found.lines(0.0))
     assert found.most > 0.8
 
 
-def test_once_all_act_on_the_smaller_whole_it_holds(played):
+def test_shares_stay_within_smaller_total_once_all_apply_it(played):
     read, parts, records, facts = played
     found = check_parts(parts, records, halved(facts))
     since = {p: acting(read, parts, facts, p) for p in facts["partners"]}
@@ -93,5 +94,5 @@
         late = [b for b in found.breaches if b.text.startswith(f"partner {partner}:") and b.t > t]
         assert not late, late[0]
         assert sum(p["partner"] == partner and p["t"] > t for p in parts) > 3
-    # The judgement can fail: before that there was more than the half.
+    # The check can fail: before that there was more than half.
     assert any(b.t < min(since.values()) for b in found.breaches)
--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -1,5 +1,5 @@
-"""A minute's worth of a fleet's troubles in a quarter of it: processes that share ceilings, honest ones and one kind
-that does not give back what it was lent. What they wrote down and what came to the nodes is judged."""
+"""Processes that share ceilings under a fleet's faults, honest ones and some that do not return what was leased to
+them. Judged by their logs and by what reached the nodes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory):
-    """The day with honest ingresses, and with sabotaged ones, at once."""
+    """Plays the day with honest ingresses and with sabotaged ones at once."""
 
     async def main() -> dict:
         found = {}
@@ -39,21 +39,21 @@
     return asyncio.run(main())
 
 
-def test_parts_of_all_processes_stay_within_the_whole(played):
+def test_shares_of_all_processes_stay_within_total(played):
     verdict, parts, lines, records, _ = played["honest"]
     assert verdict.kept, "\n".join(verdict.lines())
     assert parts.kept and parts.changes > 100, "\n".join(parts.lines(0.0))
-    assert parts.most > 0.8  # it was lent nearly whole
+    assert parts.most > 0.8  # nearly all was leased
     assert verdict.judged[5] > 30 and len({r["process"] for r in lines}) >= 7
     assert {"killed", "paused", "joined", "retired"} <= {r["e"] for r in records}
 
 
-def test_parts_that_never_end_are_found(played):
+def test_leases_that_never_expire_are_detected(played):
     _, parts, *_ = played["sabotaged"]
     assert not parts.kept
 
 
-def test_a_line_of_a_process_that_was_killed_and_a_part_that_ended_count_as_long_as_they_hold(played):
+def test_checker_counts_leases_of_killed_process_until_they_expire(played):
     *_, facts = played["honest"]
     line = {
         "process": "a", "place": facts["places"][0], "partner": "capped-0", "rate": 5000, "burst": 8000, "t": 100.0,
@@ -62,6 +62,6 @@
     other = {**line, "process": "b", "place": facts["places"][1], "rate": 6000, "burst": 5000, "t": 1050.0}
     killed = [{"e": "killed", "ingress": 0, "t": 500.0}]
     assert not check_parts([line, other], [], facts).kept  # 5 and 6 of 8 a second
-    assert not check_parts([line, other], killed, facts).kept  # what it was lent counts on, what it owned does not
+    assert not check_parts([line, other], killed, facts).kept  # its lease counts on, its minimum share does not
     assert check_parts([line, {**other, "t": 1101.0}], killed, facts).kept
     assert check_parts([line, {**other, "rate": 5000, "burst": 5000}], killed, facts).kept
--- a/tests/budgets/test_two.py
+++ b/tests/budgets/test_two.py
@@ -1,5 +1,5 @@
-"""A request that needs units of two: its door's part of a ceiling, which pays first, and its partner's quota, which
-another process keeps. Where the second refuses the first has its units back, once."""
+"""A request that needs units of two buckets: its gateway's share of a ceiling, which pays first, and its partner's
+quota, which another process owns. If the second refuses, the first is refunded, once."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from rushweir.policy import Policy
 from rushweir.policy.quota import ADMITTED, ASK, ENTRY_FORMAT, REFUSED
 
-BURST = 3  # units of the part, which fills next to nothing while this lasts
+BURST = 3  # units of the share, which hardly refills during the test
 
 
-class Door:
-    """One process whose partner's quota is kept elsewhere."""
+class Gateway:
+    """One gateway whose partner's quota is owned by another."""
 
     def __init__(self) -> None:
-        # One that is kept elsewhere: the other of two numbers.
+        # One that the other of two gateways owns.
         for me in (0, 1):
             settings = i.Settings(
                 gateway=me, gateways=2, zone="a",
@@ -32,7 +32,7 @@
             self.number = self.ask()
             if self.number is not None:
                 break
-        self.refused(self.number)  # what it was found out by
+        self.refused(self.number)  # the request that found it
         self.do(i.Part("one", 0.001, BURST, BURST))
 
     def do(self, event: object) -> list:
@@ -40,54 +40,55 @@
         return self.policy.handle(self.now, event)
 
     def ask(self) -> int | None:
-        """A request; the number under which its quota is asked for, None where nobody is asked."""
+        """Sends a request; returns the number under which its quota is asked for, None if nobody is asked."""
         self.serial += 1
         self.last = self.do(i.Request(f"r{self.serial}", "look", "capped", "one", self.now + 3000.0, 1.0, 2, 0))
-        for _ in range(40):  # mail goes in its own time
+        for _ in range(40):  # peer messages are batched
             for a in self.last:
                 if isinstance(a, i.Tell):
                     for kind, *_, over, number in unpack_entries(ENTRY_FORMAT, a.text):
                         if kind == ASK:
-                            self.own = not over % 2  # whether the door's own part pays
+                            self.own = not over % 2  # whether the gateway's own share pays
                             return number
             self.last = self.do(i.Timer(0))
         return None
 
-    def word(self, kind: int, number: int) -> list:
-        """The keeper's: so little is left that none is let in on the word alone, and enough to ask for one more."""
+    def answer(self, kind: int, number: int) -> list:
+        """An answer of the quota's owner: so little is left that nothing is admitted by it alone, but enough to ask
+        again."""
         customer = self.policy.quota.customers.copy().popitem()[0]
         text = b85encode(ENTRY_FORMAT.pack(kind, 0, customer, 1.0, 255, number)).decode()
         return self.do(i.PeerMessage(1 - self.me, text))
 
     def refused(self, number: int) -> None:
-        assert [type(a) for a in self.word(REFUSED, number)] == [i.Refuse]
+        assert [type(a) for a in self.answer(REFUSED, number)] == [i.Refuse]
 
     def sent(self) -> int:
-        """How many requests the door's part pays for from now on, until the keeper is asked to pay."""
+        """How many requests the gateway's share pays for from now on, until the owner is asked to pay."""
         for n in range(3 * BURST):
             number = self.ask()
             if not self.own:
                 return n
-            assert any(isinstance(a, i.Send) for a in self.word(ADMITTED, number))
+            assert any(isinstance(a, i.Send) for a in self.answer(ADMITTED, number))
         return 3 * BURST
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_what_the_second_refuses_comes_back_to_the_first_once(times):
-    door = Door()
-    door.word(ADMITTED, door.ask())  # so that the bucket has room for what would come back twice
-    for _ in range(4):  # more than the part has: each gets its own back before the next
-        number = door.ask()
+def test_refused_request_is_refunded_once(times):
+    gateway = Gateway()
+    gateway.answer(ADMITTED, gateway.ask())  # so that the bucket has capacity for a second refund
+    for _ in range(4):  # more than the share has: each is refunded before the next
+        number = gateway.ask()
         assert number is not None
-        door.refused(number)
+        gateway.refused(number)
         for _ in range(times - 1):
-            assert not door.word(REFUSED, number)  # doubled on its way
-    assert door.sent() == BURST - 1
+            assert not gateway.answer(REFUSED, number)  # duplicated in transit
+    assert gateway.sent() == BURST - 1
 
 
-def test_what_the_second_lets_in_does_not_come_back():
-    door = Door()
-    number = door.ask()
-    assert any(isinstance(a, i.Send) for a in door.word(ADMITTED, number))
-    door.word(REFUSED, number)  # of an older question, or a wrong word
-    assert door.sent() == BURST - 1
+def test_admitted_request_is_not_refunded():
+    gateway = Gateway()
+    number = gateway.ask()
+    assert any(isinstance(a, i.Send) for a in gateway.answer(ADMITTED, number))
+    gateway.answer(REFUSED, number)  # to an older request, or a false answer
+    assert gateway.sent() == BURST - 1
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""The daemon's house serves here, too."""
+"""Makes the daemon tests' ``house`` fixture available here."""
 
 from tests.daemon.conftest import house
 
--- a/tests/fleet/test_cuts.py
+++ b/tests/fleet/test_cuts.py
@@ -1,4 +1,4 @@
-"""Where most of a fleet is gone, those that are left find out in time, and nobody is judged hastily for it."""
+"""When most of a fleet is gone the remaining members detect it in time, and nobody is suspected hastily."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from rushweir.lab.sim.world import World
 
 SEEDS, WITHIN_MS = range(60), 8_000.0
-LOST = 0.4  # of the datagrams in noise: so much that who never mistrusts itself takes many for dead
+LOSS = 0.4  # of the datagrams: so much that a member that always considers itself healthy declares many dead
 
 
 class Blaming(Fleet):
-    """The baseline: each failed probe counts against who probes, whatever its helpers say."""
+    """The baseline: each failed probe lowers the local health, whatever its helpers report."""
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
@@ -30,7 +30,7 @@
 
 
 def together(seed: int, count: int, kind: type[Fleet]) -> tuple[World, Members]:
-    """Members of the process scenes' day, all seated in one view."""
+    """Members of the process scenes, all with slots in one view."""
     world = World(seed)
     fleet = Members(world, 3, count, 0.001, view_ms=4_000.0, keep_ms=30_000.0)
     fleet.make = lambda settings, seed, now, kept: kind(settings, KEY, seed, now, kept)
@@ -45,8 +45,8 @@
 
 
 def until_dead(seed: int, kind: type[Fleet]) -> float:
-    """The scene ``halves_and_a_healing_in_another_order`` of the process scenes: from the cut of 2, 4, 5 and of 3
-    until 0 and 1 both hold 2 and 3 for dead."""
+    """The scene ``partition_healed_in_another_order`` of the process scenes: milliseconds from the partition of
+    members 2, 4, 5 and of 3 until 0 and 1 both consider 2 and 3 dead."""
     world, fleet = together(seed, 6, kind)
     world.split(*([Members.place(k) for k in side] for side in ((0, 1), (3,), (2, 4, 5))))
     gone, at = [fleet.fleet(k).me for k in (2, 3)], world.now
@@ -56,13 +56,13 @@
     return world.now - at
 
 
-def test_two_of_six_see_in_time_that_the_others_are_gone():
+def test_two_of_six_detect_in_time_that_the_others_are_gone():
     assert max(until_dead(seed, Fleet) for seed in SEEDS) < WITHIN_MS
-    assert max(until_dead(seed, Blaming) for seed in SEEDS) > WITHIN_MS  # the bound finds the fault
+    assert max(until_dead(seed, Blaming) for seed in SEEDS) > WITHIN_MS  # the bound detects the fault
 
 
 @pytest.mark.parametrize("kind", [Fleet, Blaming])
-def test_who_hears_nobody_mistrusts_itself(kind):
+def test_member_that_receives_nothing_lowers_its_local_health(kind):
     world, fleet = together(1, 6, kind)
     world.split([Members.place(0)], [Members.place(k) for k in range(1, 6)])
     world.run(world.now + 6_000.0)
@@ -71,24 +71,24 @@
 
 
 @cache
-def in_noise(kind: type[Fleet], seeds: int = 4, ms: float = 60_000.0) -> int:
-    """How often a member of twelve that is up was judged dead in noise."""
+def under_loss(kind: type[Fleet], seeds: int = 4, ms: float = 60_000.0) -> int:
+    """How often a member of twelve that is up was declared dead under loss."""
     times = 0
     for seed in range(seeds):
         world, fleet = together(seed, 12, kind)
-        world.net.loss = LOST
+        world.net.loss = LOSS
         world.run(world.now + ms)
         times += sum(p.core.counts["overdue"] for p in fleet.up())
     return times
 
 
-def test_in_noise_no_more_are_taken_for_dead():
-    assert in_noise(Fleet) <= 1.1 * in_noise(Blaming)  # equal over many seeds; four differ by chance
-    assert in_noise(Hasty) > 2 * in_noise(Blaming)  # the bound finds who never mistrusts itself
+def test_under_loss_no_more_members_are_declared_dead():
+    assert under_loss(Fleet) <= 1.1 * under_loss(Blaming)  # equal over many seeds; four differ by chance
+    assert under_loss(Hasty) > 2 * under_loss(Blaming)  # the bound detects the fault
 
 
 class Hasty(Fleet):
-    """Trusts itself, whatever happens."""
+    """Always considers itself healthy."""
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
--- a/tests/fleet/test_days.py
+++ b/tests/fleet/test_days.py
@@ -1,4 +1,4 @@
-"""Days of simulated fleets: nothing breaks, and what is planted is found."""
+"""Simulated fleets under random faults: invariants hold, and injected faults are detected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rushweir.lab.sim.plants import KINDS, Planted
 
 SIZE = Size()
-WITHIN = 40  # days in which each planted fault has to be found
+MAX_DAYS = 40  # within which each injected fault has to be detected
 
 
 def planted(kind):
@@ -17,11 +17,11 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_day_of_faults_breaks_nothing(seed):
+def test_day_of_faults_breaks_no_invariant(seed):
     assert check(seed, SIZE) == ""
 
 
-def test_equal_seeds_play_equal_days():
+def test_equal_seeds_give_equal_runs():
     lines = []
     for _ in range(2):
         day = Day(3, SIZE, draw(3, SIZE))
@@ -31,23 +31,23 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_planted_fault_is_found(kind):
-    assert any(check(seed, SIZE, None, planted(kind)) for seed in range(WITHIN))
+def test_injected_fault_is_detected(kind):
+    assert any(check(seed, SIZE, None, planted(kind)) for seed in range(MAX_DAYS))
 
 
-def test_a_script_is_cut_down_to_what_breaks():
-    seed = next(s for s in range(WITHIN) if check(s, SIZE, None, planted("eager")))
-    whole = draw(seed, SIZE)
+def test_script_is_reduced_to_the_steps_that_break():
+    seed = next(s for s in range(MAX_DAYS) if check(s, SIZE, None, planted("eager")))
+    full = draw(seed, SIZE)
 
     def broke(script):
         return "in the chair" in check(seed, SIZE, script, planted("eager"))
 
-    short = cut_down(seed, SIZE, whole, broke)
-    assert broke(short) and 1 <= len(short) < len(whole) / 2
+    reduced = cut_down(seed, SIZE, full, broke)
+    assert broke(reduced) and 1 <= len(reduced) < len(full) / 2
 
 
-def test_a_fleet_that_never_finds_together_is_told():
-    """The end of a day is judged, too: members that know no seed."""
+def test_fleet_that_never_converges_is_reported():
+    """The end of a run is checked, too: these members know no seed."""
     day = Day(1, SIZE, [])
     day.fleet.seeds = (("10.9.9.9", 1),)
     with pytest.raises(Broken, match="after the last fault"):
--- a/tests/fleet/test_noise.py
+++ b/tests/fleet/test_noise.py
@@ -1,10 +1,11 @@
-"""Members in noise know in time that their number is their own; the cause why they once did not, forced."""
+"""Under datagram loss members learn in time that their slot is still their own; the cause of a former failure,
+forced."""
 
 from __future__ import annotations
 
 import pytest
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.exchange import Exchange
 from rushweir.fleet.views import LOST
@@ -14,7 +15,7 @@
 
 SEEDS = range(6)
 NOISE = Scene(mail=35, missed_ms=3_000.0, length_ms=35_000.0)
-# No noise at all: the views of two who join are missed, and probes and quotas use up every member's budget.
+# No loss at all: the views of two joining members are missed, and probes and quotas use up every message budget.
 DRAINED = Scene(mail=400, missed_ms=3_000.0, noise=False, length_ms=35_000.0)
 
 
@@ -23,20 +24,20 @@
     return max(ms for found in plays for ms in found.longest.values()), sum(len(found.ended) for found in plays)
 
 
-def test_nobody_in_noise_comes_near_the_end_of_its_safe_time():
+def test_under_loss_slots_stay_confirmed_well_within_safe_time():
     longest, ended = worst(NOISE, Fleet)
     assert ended == 0 and longest < 0.6 * safe_ms()
-    assert worst(NOISE, Starved)[0] > 0.6 * safe_ms()  # the bound finds the fault
+    assert worst(NOISE, Starved)[0] > 0.6 * safe_ms()  # the bound detects the fault
 
 
-def test_who_missed_a_view_learns_it_though_no_budget_has_room():
+def test_member_learns_missed_view_with_exhausted_message_budget():
     longest, ended = worst(DRAINED, Fleet)
     assert ended == 0 and longest < safe_ms() / 2
     assert worst(DRAINED, Starved)[1] > 0
 
 
 class Unasking(Fleet):
-    """Asks the chair though it is behind."""
+    """Asks the leader although it is behind."""
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
@@ -44,7 +45,8 @@
 
 
 def behind(kind: type[Fleet]) -> tuple[World, Members]:
-    """Three found together; a fourth joined while the first heard nothing, and all rumours of it are over."""
+    """Three members converged; a fourth joined while the first received nothing, and all gossip about it has
+    ended."""
     world = World(5)
     fleet = Members(world, 3, 6, view_ms=4_000.0, keep_ms=30_000.0)
     fleet.make = lambda settings, seed, now, kept: kind(settings, KEY, seed, now, kept)
@@ -66,14 +68,14 @@
 
 
 @pytest.mark.parametrize(("kind", "found"), [(Fleet, 1), (Unasking, 2)])
-def test_who_hears_of_a_newer_view_asks_for_it(monkeypatch, kind, found):
-    """Without comparisons, and with all rumours told: only asking is left. The chair's answer alone does not do."""
+def test_member_requests_newer_view_reported_to_it(monkeypatch, kind, found):
+    """Without comparisons and after all gossip: only a request is left. The leader's answer alone is not enough."""
     monkeypatch.setattr(Exchange, "_compare", lambda self, _: None)
     monkeypatch.setattr("rushweir.fleet.sending.retransmit_limit", lambda slot_count: 1)
     assert len(views(*behind(kind), 21_000.0)) == found
 
 
-def test_a_false_word_of_a_newer_view_keeps_nobody_from_asking_the_chair():
+def test_false_report_of_newer_view_does_not_block_asking_leader():
     world = World(5)
     fleet = Members(world, 3, 6, view_ms=4_000.0, keep_ms=30_000.0)
     for k in range(3):
@@ -87,13 +89,13 @@
     assert not member.exchange.request_newer_view()
 
 
-def test_who_lost_its_seat_asks_for_it_as_often_as_who_has_none(monkeypatch):
+def test_member_with_lost_slot_requests_at_normal_interval(monkeypatch):
     world = World(5)
     fleet = Members(world, 3, 6, view_ms=4_000.0, keep_ms=30_000.0)
     for k in range(4):
         fleet.start(k)
     world.run(15_000.0)
-    lost, chair = fleet.fleet(3), next(fleet.fleet(k) for k in range(3) if fleet.fleet(k).leader_lease.is_held())
+    lost, leader = fleet.fleet(3), next(fleet.fleet(k) for k in range(3) if fleet.fleet(k).leader_lease.is_held())
 
     def until_lost(member: Fleet) -> None:
         while member.view.slots[lost.assigned_slot].state != LOST:
@@ -101,20 +103,20 @@
             assert world.now < 30_000.0
 
     world.net.cut |= {(Members.place(3), Members.place(k)) for k in range(3)}
-    until_lost(chair)
+    until_lost(leader)
     world.net.cut.clear()
     monkeypatch.setattr(
         "rushweir.fleet.view_manager.ViewManager.request_slot", lambda *_: None
-    )  # what it asks is lost
+    )  # its requests are lost
     until_lost(lost)
-    asked = []
+    requested_at = []
     send = Fleet.send
 
     def counted(self, kind, to, body):
-        if kind == f.SLOT_REQUEST:
-            asked.append(self.now)
+        if kind == frame.SLOT_REQUEST:
+            requested_at.append(self.now)
         send(self, kind, to, body)
 
     monkeypatch.setattr(Fleet, "send", counted)
     world.run(world.now + 6_000.0)
-    assert len(asked) >= 10
+    assert len(requested_at) >= 10
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -34,7 +34,7 @@
         return dict(zip(among, found, strict=True))
 
     async def until(self, among: list[int], what: Any, within: float = 25.0) -> dict[int, dict[str, Any]]:
-        """Wait until something is true of how members see the fleet; returns how they do."""
+        """Waits until ``what`` holds for how members see the fleet; returns how they do."""
         seen: dict = {}
         try:
             async with asyncio.timeout(within):
@@ -46,7 +46,7 @@
         return seen
 
     async def together(self, among: list[int], within: float = 25.0) -> dict[int, dict[str, Any]]:
-        """Until these, and nobody else, are seated in one view that is in force."""
+        """Waits until these members, and nobody else, have slots in one view that is in force."""
 
         def one(seen: dict) -> bool:
             return (
@@ -62,18 +62,18 @@
     def trouble(self, what: str, *on: int, ms: float = 0.0) -> asyncio.Task:
         return asyncio.create_task(self.troubles.trouble(Trouble(0.0, what, on, ms)))
 
-    def chair(self, seen: dict) -> int:
+    def leader(self, seen: dict) -> int:
         return next(k for k, s in seen.items() if s["chair"])
 
 
 def states(seen: dict, of: Group, k: int) -> set[str]:
-    """How a place is seen by others."""
+    """How other members see a place."""
     where = f"127.0.0.1:{of.stage.relay_ports[k]}"
     return {m["state"] for s in seen.values() for m in s["members"] if m["address"] == where}
 
 
 async def grows_and_shrinks(g: Group) -> None:
-    """3 to 6 to 3; who joins gets a number, who leaves gives it back, nobody's settings are touched."""
+    """From 3 to 6 to 3 members: each gets a slot and gives it back on leaving, and nobody's settings change."""
     first = await g.together([0, 1, 2])
     files = {k: (g.stage.folder / f"ingress-{k}.conf").read_text() for k in (0, 1, 2)}
     await asyncio.gather(*(g.stage.start_ingress(k) for k in (3, 4, 5)))
@@ -82,7 +82,7 @@
     assert {k: grown[k]["number"] for k in first} == {k: s["number"] for k, s in first.items()}
     assert g.stage.numbers == {k: s["number"] for k, s in grown.items()}
     await asyncio.gather(*(g.trouble("retire", k) for k in (3, 4, 5)))
-    shrunk = await g.together([0, 1, 2], 6.0)  # at once: nobody waits for a silence to last
+    shrunk = await g.together([0, 1, 2], 6.0)  # at once, without waiting for a suspicion timeout
     assert "left" in states(shrunk, g, 3) | states(shrunk, g, 4)
     await g.stage.start_ingress(4)
     again = await g.together([0, 1, 2, 4])
@@ -90,29 +90,29 @@
     assert all((g.stage.folder / f"ingress-{k}.conf").read_text() == text for k, text in files.items())
 
 
-async def chair_and_its_successor_are_killed(g: Group) -> None:
+async def leader_and_its_successor_are_killed(g: Group) -> None:
     await asyncio.gather(*(g.stage.start_ingress(k) for k in (3, 4)))
     seen = await g.together([0, 1, 2, 3, 4])
     before = {k: s["number"] for k, s in seen.items()}
     for _ in range(2):
-        k = g.chair(seen)
+        k = g.leader(seen)
         await g.troubles.crash(k, 300.0)
         seen = await g.together([0, 1, 2, 3, 4], 30.0)
-    assert {k: s["number"] for k, s in seen.items()} == before  # each is back under its number
+    assert {k: s["number"] for k, s in seen.items()} == before  # each regains its slot
 
 
-async def chair_is_stopped_for_longer_than_its_lease(g: Group) -> None:
+async def leader_is_paused_for_longer_than_its_lease(g: Group) -> None:
     seen = await g.together([0, 1, 2])
-    k = g.chair(seen)
+    k = g.leader(seen)
     others = [x for x in (0, 1, 2) if x != k]
     paused = g.trouble("pause", k, ms=12_000.0)
     where = f"127.0.0.1:{g.stage.relay_ports[k]}"
 
     def silent(seen: dict) -> bool:
-        seats = [x for s in seen.values() for x in s["seats"] if x["address"] == where]
-        return any(s["chair"] for s in seen.values()) and {x["state"] for x in seats} == {"lost"}
+        slots = [x for s in seen.values() for x in s["seats"] if x["address"] == where]
+        return any(s["chair"] for s in seen.values()) and {x["state"] for x in slots} == {"lost"}
 
-    seen = await g.until(others, silent)  # its number is nobody else's meanwhile
+    seen = await g.until(others, silent)  # its slot is assigned to nobody else meanwhile
     lost = next(x for x in seen[others[0]]["seats"] if x["address"] == where)
     await paused
     seen = await g.together([0, 1, 2])
@@ -120,18 +120,18 @@
 
 
 async def one_way_cuts(g: Group) -> None:
-    """Who is not heard, and who hears nothing, is lost; both are back under their numbers when it is over."""
+    """A member that cannot send and one that cannot receive are lost; both regain their slots afterwards."""
     await asyncio.gather(*(g.stage.start_ingress(k) for k in (3, 4)))
     before = {k: s["number"] for k, s in (await g.together([0, 1, 2, 3, 4])).items()}
     over = [g.trouble("unheard", 3, ms=9_000.0), g.trouble("deaf", 4, ms=9_000.0)]
     await g.until([0, 1, 2], lambda s: states(s, g, 3) == states(s, g, 4) == {"dead"})
-    await g.until([4], lambda s: not s[4]["current"])  # it knows that it does not know
+    await g.until([4], lambda s: not s[4]["current"])  # it knows that its view is not confirmed
     await asyncio.gather(*over)
     seen = await g.together([0, 1, 2, 3, 4])
     assert {k: s["number"] for k, s in seen.items()} == before
 
 
-async def halves_and_a_healing_in_another_order(g: Group) -> None:
+async def partition_healed_in_another_order(g: Group) -> None:
     """Two seeds and a member on one side, a seed and two members on the other; then thirds; healed one by one."""
     await asyncio.gather(*(g.stage.start_ingress(k) for k in (3, 4, 5)))
     before = {k: s["number"] for k, s in (await g.together(list(range(6)))).items()}
@@ -139,7 +139,8 @@
     seen = await g.until([0, 1], lambda s: states(s, g, 2) == states(s, g, 3) == {"dead"})
     assert sum(s["chair"] for s in seen.values()) <= 1
     await g.until([2, 4, 5], lambda s: not any(x["current"] or x["chair"] for x in s.values()))
-    assert all(s["number"] == before[k] for k, s in (await g.all([2, 4, 5])).items())  # it is still their own
+    # Their slots are still their own
+    assert all(s["number"] == before[k] for k, s in (await g.all([2, 4, 5])).items())
     await asyncio.gather(*cut)
     seen = await g.together(list(range(6)))
     assert {k: s["number"] for k, s in seen.items()} == before
@@ -150,12 +151,12 @@
     number = (await g.status(0))["view"]
     await asyncio.gather(*(g.troubles.crash(k, 100.0) for k in (0, 1, 2)))
     seen = await g.together([0, 1, 2])
-    assert {k: s["number"] for k, s in seen.items()} == before  # the seeds kept what they voted for
+    assert {k: s["number"] for k, s in seen.items()} == before  # the seeds stored the view that they accepted
     assert all(s["view"] > number for s in seen.values())
 
 
-async def strangers_and_recorded_datagrams(g: Group) -> None:
-    """Datagrams without the key, and those recorded of a process that is gone, change nothing."""
+async def unauthenticated_and_replayed_datagrams(g: Group) -> None:
+    """Datagrams without the key, and those recorded for a process that is gone, change nothing."""
     recorded: list[tuple[int, bytes]] = []
     passes = g.stage.net._pass
 
@@ -166,11 +167,11 @@
     g.stage.net._pass = record
     await g.stage.start_ingress(3)
     await g.together([0, 1, 2, 3])
-    # So many that what is asserted at the end can be: seated, it may have been sent no more than a dozen.
+    # Enough for the assertions at the end: with a slot it may have been sent no more than a dozen.
     await g.until([0, 1, 2, 3], lambda _: sum(to == 3 for to, _ in recorded) > 40)
     await g.trouble("retire", 3)
     old = list(recorded)
-    await g.stage.start_ingress(3)  # under its old number, as another process
+    await g.stage.start_ingress(3)  # with its old slot, as another process
     before = await g.together([0, 1, 2, 3])
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for to, data in old:
@@ -184,8 +185,8 @@
     assert not counts.get("bad_bodies")
 
 
-async def a_fleet_in_noise(g: Group) -> None:
-    """Datagrams lost, doubled, overtaken and spoilt: nobody is lost for it."""
+async def fleet_under_loss(g: Group) -> None:
+    """Datagrams are lost, duplicated, reordered and corrupted: no member is lost."""
     await g.together([0, 1, 2])
     g.stage.net.extra_loss, g.stage.net.doubled = 0.15, 0.2
     g.stage.net.spoilt = g.stage.net.overtaken = 0.1
@@ -195,22 +196,22 @@
     assert sum(s["counts"].get("frames_dropped_stranger", 0) for s in seen.values()) > 0
 
 
-async def what_each_answers_is_known_to_all(g: Group) -> None:
+async def load_figures_reach_all(g: Group) -> None:
     await g.together([0, 1, 2])
     seen = await g.until([0, 1, 2], lambda s: all(m["served"] is not None for x in s.values() for m in x["members"]))
     assert {m["state"] for x in seen.values() for m in x["members"]} == {"alive"}
 
 
 SCENES = (
-    grows_and_shrinks, chair_and_its_successor_are_killed, chair_is_stopped_for_longer_than_its_lease, one_way_cuts,
-    halves_and_a_healing_in_another_order, all_restart_at_once, strangers_and_recorded_datagrams, a_fleet_in_noise,
-    what_each_answers_is_known_to_all,
+    grows_and_shrinks, leader_and_its_successor_are_killed, leader_is_paused_for_longer_than_its_lease, one_way_cuts,
+    partition_healed_in_another_order, all_restart_at_once, unauthenticated_and_replayed_datagrams, fleet_under_loss,
+    load_figures_reach_all,
 )  # fmt: skip
 
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory):
-    """All scenes, some at a time: they wait for silences far more than they work."""
+    """Plays all scenes, some at a time, since they mostly wait for silences."""
 
     async def main() -> dict[str, BaseException | None]:
         gate = asyncio.Semaphore(5)
--- a/tests/fleet/test_serve.py
+++ b/tests/fleet/test_serve.py
@@ -1,4 +1,4 @@
-"""One process with a fleet block: its settings, waiting for a number, handing over to a successor."""
+"""One process with a fleet block: its settings, waiting for a slot, handoff to a successor."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return load_text(BASE.format(number=number, state=state, more=more), "a.conf", base)
 
 
-def test_settings_of_a_member(base):
+def test_fleet_settings_follow_configuration(base):
     made = settings(base, PEERS % 9001 + FLEET % "term 4s\n    keep 1m")
     fleet = made.fleet()
     assert fleet.seeds == (fleet.address,) == (("127.0.0.1", 9001),) and (fleet.slot_count, fleet.wanted_slot) == (
@@ -60,7 +60,7 @@
     sharing = made.settings().sharing
     assert (
         sharing.messages_per_s == 33.0 and sharing.leased_ceilings
-    )  # of 60; the fleet and its budgets have the rest
+    )  # of 60; the rest is for the fleet and its budgets
     assert settings(base, PEERS % 9001, "1 3").fleet() is None
 
 
@@ -78,21 +78,22 @@
         (PEERS % 9001, "some 12", "state run", "a whole number, or auto"),
     ],
 )
-def test_errors_name_the_line(base, more, number, state, text):
+def test_configuration_error_names_the_line(base, more, number, state, text):
     with pytest.raises(ConfigError) as bad:
         settings(base, more, number, state)
     assert text in str(bad.value) and "a.conf:" in str(bad.value)
 
 
-def test_a_reload_goes_on_with_the_member_that_there_is(base):
-    """Reading the settings anew made a second set of budgets, which took the fleet's messages from the first."""
+def test_reload_keeps_the_existing_member(base):
+    """Guards against a reload that made a second set of budgets, which took over the fleet's messages from the
+    first."""
     config = settings(base, PEERS % 9001 + FLEET % "term 4s", "1 12")
     service = Service(base / "a.conf", config, make_log(config))
     first = service._setup(config).fleet
-    taker = service.member.app_handlers[TOPIC]
+    handler = service.member.app_handlers[TOPIC]
     assert (
         service._setup(config).fleet is first
-        and service.member.app_handlers[TOPIC] == taker == first.budgets._on_message
+        and service.member.app_handlers[TOPIC] == handler == first.budgets._on_message
     )
     service._ended_early(0)
 
@@ -104,7 +105,7 @@
     return PEERS % peers + f"fleet {{\n    seed 127.0.0.1:{seed}\n    term 3s\n    keep 6s\n}}\n"
 
 
-def test_without_a_majority_an_ingress_waits_and_ends_when_told(house):
+def test_ingress_without_majority_waits_and_stops_on_signal(house):
     async def body(h):
         port = free_port(socket.SOCK_DGRAM)
         h.write(fleet_lines(h, port, port + 1 if port < 60000 else port - 1), ("ingress 0 1", "ingress auto 3"))
@@ -117,7 +118,7 @@
     house(body)
 
 
-def test_a_seed_alone_gives_itself_a_number_and_hands_it_over(house):
+def test_single_seed_takes_slot_and_successor_takes_it_over(house):
     async def body(h):
         await h.nodes(1)
         port = free_port(socket.SOCK_DGRAM)
@@ -134,7 +135,7 @@
     house(body)
 
 
-def test_a_file_of_a_seed_that_is_altered_is_no_reason_to_vote_without_it(house):
+def test_seed_with_corrupt_view_file_refuses_to_start(house):
     async def body(h):
         await h.nodes(1)
         port = free_port(socket.SOCK_DGRAM)
--- a/tests/fleet/test_sketch.py
+++ b/tests/fleet/test_sketch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rushweir.fleet import frame as f
+from rushweir.fleet import frame
 from rushweir.fleet.core import Fleet
 from rushweir.fleet.exchange import Exchange
 from rushweir.fleet.table import BUCKETS, MEMBER, Table
@@ -13,7 +13,7 @@
 
 
 class Blind(Fleet):
-    """The baseline: where much differs both sides send whole parts as they are."""
+    """The baseline: if much differs both sides send whole buckets."""
 
     def __init__(self, *arguments) -> None:
         super().__init__(*arguments)
@@ -31,7 +31,7 @@
 
 
 def one_view_s(seed: int, kind: type[Fleet], count: int = 60) -> float:
-    """Members that begin at once: until all hold one view and know each other."""
+    """Seconds until members that start at once all hold one view and know each other."""
     world = World(seed)
     fleet = Members(world, 3, count)
     fleet.make = lambda settings, seed, now, kept: kind(settings, KEY, seed, now, kept)
@@ -46,25 +46,26 @@
     return world.now / 1000
 
 
-def test_a_fleet_that_begins_at_once_finds_together_sooner():
+def test_fleet_started_at_once_converges_sooner_with_sketches():
     seeds = range(2)
     assert sum(one_view_s(s, Fleet) for s in seeds) < 0.8 * sum(one_view_s(s, Blind) for s in seeds)
 
 
-def test_marks_say_what_is_lacking():
+def test_short_hashes_show_missing_rows():
     full, half = (Table({MEMBER: 9}, 400, lambda _: True) for _ in range(2))
     for origin in range(1, 201):
         full.put(MEMBER, origin, 1, b"x")
         if origin % 2:
             half.put(MEMBER, origin, 1 + (origin == 99), b"x")
-    lacks = set()
-    for part in range(BUCKETS):
-        marks = half.bucket_hashes(part)
-        lacks |= set(full.rows_without_hash(part, {marks[k : k + 2] for k in range(0, len(marks), 2)}))
-    assert lacks == {(MEMBER, k) for k in range(2, 201, 2)} | {(MEMBER, 99)}  # another version is another mark
+    missing = set()
+    for bucket in range(BUCKETS):
+        hashes = half.bucket_hashes(bucket)
+        missing |= set(full.rows_without_hash(bucket, {hashes[k : k + 2] for k in range(0, len(hashes), 2)}))
+    assert missing == {(MEMBER, k) for k in range(2, 201, 2)} | {(MEMBER, 99)}  # another version has another hash
     half.forget(MEMBER, 1)
     assert (
-        all(half.bucket_hashes(part) is not None for part in range(BUCKETS)) and (MEMBER, 1) not in half.short_hashes
+        all(half.bucket_hashes(bucket) is not None for bucket in range(BUCKETS))
+        and (MEMBER, 1) not in half.short_hashes
     )
 
 
@@ -72,7 +73,7 @@
 
 
 @pytest.mark.parametrize("body", BODIES)
-def test_what_is_no_sketch_changes_nothing(body):
+def test_malformed_sketch_changes_nothing(body):
     world = World(1)
     fleet = Members(world, 1, 3)
     for k in range(2):
@@ -80,5 +81,5 @@
     world.run(10_000.0)
     a, b = fleet.fleet(0), fleet.fleet(1)
     before = a.table.digest()
-    a.datagram(a.now, b.frames.pack(f.SKETCH, a.me, body))
+    a.datagram(a.now, b.frames.pack(frame.SKETCH, a.me, body))
     assert a.table.digest() == before and sum(type(x).__name__ == "SendTo" for x in a.commands) <= 6
--- a/tests/fleet/test_table.py
+++ b/tests/fleet/test_table.py
@@ -1,4 +1,4 @@
-"""The shared table: whatever way entries come, members hold the same, and nothing beyond its bounds."""
+"""The replicated table: rows in any order give equal tables, and limits hold."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 )
 
 
-def table(most: int = 50) -> Table:
-    return Table({MEMBER: 20, SLOT: 20, VIEW_HEADER: 20, LOAD: 20}, most, lambda origin: True)
+def table(max_entries: int = 50) -> Table:
+    return Table({MEMBER: 20, SLOT: 20, VIEW_HEADER: 20, LOAD: 20}, max_entries, lambda origin: True)
 
 
-def held(t: Table) -> dict:
-    return {kind: dict(of) for kind, of in t.entries.items()}
+def held(table_: Table) -> dict:
+    return {kind: dict(entries) for kind, entries in table_.entries.items()}
 
 
 @settings(max_examples=150, deadline=None)
 @given(ROWS, st.randoms(use_true_random=False))
-def test_order_and_repeats_make_no_difference(rows, rng):
+def test_merge_ignores_order_and_duplicates(rows, rng):
     a, b = table(), table()
     for row in rows:
         a.merge(row)
@@ -39,66 +39,66 @@
 
 @settings(max_examples=100, deadline=None)
 @given(ROWS, ROWS)
-def test_two_that_compare_end_with_the_same(mine, theirs):
+def test_tables_are_equal_after_comparison(mine, theirs):
     a, b = table(), table()
     for row in mine:
         a.merge(row)
     for row in theirs:
         b.merge(row)
-    for part in b.differing(a.digest()):
-        lacks, wants = b.missing(part, a.versions(part), True)
-        for key in lacks:
+    for bucket in b.differing(a.digest()):
+        missing, wanted = b.missing(bucket, a.versions(bucket), True)
+        for key in missing:
             a.merge(b.row(key))
-        for kind, origin, _ in wants:
+        for kind, origin, _ in wanted:
             b.merge(a.row((kind, origin)))
     assert held(a) == held(b) and a.differing(b.digest()) == []
 
 
-def test_versions_exchanged_between_two_entries_do_not_look_the_same():
+def test_swapped_versions_change_digest():
     a, b = table(), table()
     a.put(LOAD, 1, 5, b""), a.put(LOAD, 2, 9, b"")
     b.put(LOAD, 1, 9, b""), b.put(LOAD, 2, 5, b"")
     assert a.digest() != b.digest()
 
 
-def test_bounds_of_bytes_of_entries_and_of_kinds():
-    t = Table({MEMBER: 20, LOAD: 4}, 3, lambda origin: origin < 3)
-    assert not t.put(LOAD, 1, 1, b"12345") and not t.put(77, 1, 1, b"") and not t.put(LOAD, 5, 1, b"")
+def test_table_refuses_beyond_byte_entry_and_kind_limits():
+    table_ = Table({MEMBER: 20, LOAD: 4}, 3, lambda origin: origin < 3)
+    assert not table_.put(LOAD, 1, 1, b"12345") and not table_.put(77, 1, 1, b"") and not table_.put(LOAD, 5, 1, b"")
     for k in range(10):
-        t.put(MEMBER, k, 1, b"")
-    assert len(t.entries_of(MEMBER)) == 3 and t.refused == 10
-    assert t.put(MEMBER, 0, 2, b"new")  # one that is there may always be renewed
+        table_.put(MEMBER, k, 1, b"")
+    assert len(table_.entries_of(MEMBER)) == 3 and table_.refused == 10
+    assert table_.put(MEMBER, 0, 2, b"new")  # an existing entry may always be updated
 
 
-def test_what_is_no_entry_is_refused():
-    t = table()
+def test_malformed_rows_are_refused():
+    table_ = table()
     for row in (None, 7, [], [1], [LOAD, -1, 1, b""], [LOAD, 1, 0, b""], [LOAD, 1, 1, "text"], [LOAD, 1.0, 1, b""],
                 [LOAD, 2**64, 1, b""], [LOAD, 1, 2**63, b""], ["x", 1, 1, b""]):  # fmt: skip
-        assert not t.merge(row)
-    assert held(t) == held(table()) and t.digest() == bytes(4 * BUCKETS)
+        assert not table_.merge(row)
+    assert held(table_) == held(table()) and table_.digest() == bytes(4 * BUCKETS)
 
 
-def test_what_is_forgotten_leaves_no_trace():
-    t = table()
-    t.put(LOAD, 1, 1, b"x")
-    t.put(MEMBER, 1, 1, b"y")
-    t.forget_origin(1)
-    assert t.digest() == bytes(4 * BUCKETS) and t.piggyback_rows(200, 3) == [] and not any(t.buckets)
+def test_forgotten_origin_leaves_no_trace():
+    table_ = table()
+    table_.put(LOAD, 1, 1, b"x")
+    table_.put(MEMBER, 1, 1, b"y")
+    table_.forget_origin(1)
+    assert table_.digest() == bytes(4 * BUCKETS) and table_.piggyback_rows(200, 3) == [] and not any(table_.buckets)
 
 
-def test_news_are_told_so_often_and_objections_before_newcomers():
-    t = table()
+def test_rows_are_piggybacked_to_limit_and_updates_before_new_entries():
+    table_ = table()
     for k in range(1, 30):
-        t.put(MEMBER, k, 1, b"row")
-    t.put(MEMBER, 7, 2, b"again")
-    assert t.piggyback_rows(12, 3) == [[MEMBER, 7, 2, b"again"]]
-    told = [r[1] for _ in range(60) for r in t.piggyback_rows(60, 3)]
-    assert {told.count(k) for k in range(1, 30) if k != 7} == {3} and told.count(7) == 2
-    assert t.piggyback_rows(60, 3, (MEMBER, 9)) == [[MEMBER, 9, 1, b"row"]]
+        table_.put(MEMBER, k, 1, b"row")
+    table_.put(MEMBER, 7, 2, b"again")
+    assert table_.piggyback_rows(12, 3) == [[MEMBER, 7, 2, b"again"]]
+    origins = [r[1] for _ in range(60) for r in table_.piggyback_rows(60, 3)]
+    assert {origins.count(k) for k in range(1, 30) if k != 7} == {3} and origins.count(7) == 2
+    assert table_.piggyback_rows(60, 3, (MEMBER, 9)) == [[MEMBER, 9, 1, b"row"]]
 
 
-def test_rows_are_portioned_by_bytes():
+def test_rows_are_paginated_by_bytes():
     rows = [[MEMBER, k, 1, b"x" * 30] for k in range(10)]
-    parts = paginate(rows, 100)
-    assert [r for p in parts for r in p] == rows and all(sum(map(packed_size, p)) <= 100 for p in parts)
+    pages = paginate(rows, 100)
+    assert [r for page in pages for r in page] == rows and all(sum(map(packed_size, page)) <= 100 for page in pages)
     assert paginate([[1, b"x" * 300]], 100) == []
