--- a/tests/edge/live.py
+++ b/tests/edge/live.py
@@ -8,7 +8,7 @@
 import re
 import socket
 
-from rushweir.edge.backends import PoolSettings
+from rushweir.edge.backend_links import PoolSettings
 from rushweir.edge.setup import IDLE_MS, Setup
 from rushweir.ingress.core import Core
 from rushweir.ingress.shell import Clock, Shell
@@ -26,9 +26,9 @@
         self.gate.set()
         self.lingering = []
 
-    async def _connect(self, order):
+    async def _connect(self, command):
         await self.gate.wait()
-        await super()._connect(order)
+        await super()._connect(command)
 
     def linger(self, *args):
         self.lingering.append(args)
@@ -100,7 +100,7 @@
             while not done():
                 await asyncio.sleep(0.001)
 
-    async def say(self, sock, data):
+    async def send(self, sock, data):
         await self.shell.loop.sock_sendall(sock, data)
 
     async def read(self, sock):
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's answers, good and bad, and peers' datagrams."""
+"""Tests of valid and invalid answers of discovery, and of peers' datagrams."""
 
 from __future__ import annotations
 
@@ -7,20 +7,28 @@
 import orjson
 import pytest
 
-from rushweir.edge.members import CONNECT_MS, LATE_MS, PAUSE_MS, STALE_MS, TRY_MS, WAIT_MS, WORST_MS
+from rushweir.edge.discovery_watch import (
+    ANSWER_TIMEOUT_MS,
+    CALL_MS,
+    CONNECT_TIMEOUT_MS,
+    MAX_CHANGE_DELAY_MS,
+    OLDER_DRAINS_ONLY_MS,
+    RETRY_DELAY_MS,
+    WATCH_WAIT_MS,
+)
 from rushweir.edge.peers import Peers
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import LIST, Edge, answer
 
 
-def up(edge):
+def connect_discovery(edge):
     edge.core.dialed(edge.now, edge.core.list.conn)
     edge.turn()
     return edge.core.list.conn
 
 
 def calls(edge, conn):
-    return [o.data.split(b" ")[1] for o in edge.seen if isinstance(o, c.Write) and o.conn == conn]
+    return [o.data.split(b" ")[1] for o in edge.commands if isinstance(o, commands.Write) and o.conn == conn]
 
 
 def page(version, *entries, full=False):
@@ -28,9 +36,9 @@
 
 
 def test_full_list_is_followed_by_a_continuous_watch(edge):
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
-    edge.say(conn, page(8, {**LIST["servers"][0], "state": "Terminating"}))
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
+    edge.receive(conn, page(8, {**LIST["servers"][0], "state": "Terminating"}))
     assert calls(edge, conn)[0] == b"/catalog/members"
     assert [b"since=7" in calls(edge, conn)[1], b"since=8" in calls(edge, conn)[2]] == [True, True]
     assert edge.core.nodes.effective["s-1"].state.value == "draining"
@@ -45,12 +53,12 @@
 
 @pytest.mark.parametrize("name", BAD)
 def test_unusable_answer_keeps_the_list_and_is_asked_again(edge, name):
-    conn = up(edge)
-    edge.say(conn, BAD[name])
-    edge.pass_ms(1500.0)
+    conn = connect_discovery(edge)
+    edge.receive(conn, BAD[name])
+    edge.advance_ms(1500.0)
     assert sorted(edge.core.nodes.effective) == ["s-1", "s-2", "s-3"] and conn in edge.closed
     assert edge.core.list.conn != conn
-    edge.say(up(edge), page(10, LIST["servers"][0], full=True))
+    edge.receive(connect_discovery(edge), page(10, LIST["servers"][0], full=True))
     assert list(edge.core.nodes.effective) == ["s-1"]
 
 
@@ -66,11 +74,11 @@
 @pytest.mark.parametrize("full", [True, False])
 @pytest.mark.parametrize("name", ODD)
 def test_malformed_entry_drains_only_its_own_backend(edge, name, full):
-    """The whole list was refused for it: what it told of all others did not hold, for as long as it stood there."""
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
+    """A malformed entry made the whole list refused, and no change applied for as long as it was listed."""
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
     second, third = LIST["servers"][1:]
-    edge.say(conn, page(8, ODD[name], {**second, "state": "Terminating"}, *[third] * full, full=full))
+    edge.receive(conn, page(8, ODD[name], {**second, "state": "Terminating"}, *[third] * full, full=full))
     held = {a: s.state.value for a, s in edge.core.nodes.effective.items()}
     assert held["s-2"] == "draining" and held["s-3"] == "ready" and edge.core.list.version == 8
     whose = ODD[name].get("id") if isinstance(ODD[name], dict) else None
@@ -81,7 +89,7 @@
 @pytest.mark.parametrize("order", [1, -1])
 def test_of_two_entries_for_a_backend_the_draining_one_applies(edge, order):
     words = [FIRST, {**FIRST, "state": "Terminating"}][::order]
-    edge.say(up(edge), page(8, *words, *LIST["servers"][1:], full=True))
+    edge.receive(connect_discovery(edge), page(8, *words, *LIST["servers"][1:], full=True))
     assert [edge.core.nodes.effective[k].state.value for k in ("s-1", "s-2")] == ["draining", "ready"]
 
 
@@ -90,69 +98,70 @@
 
 
 def test_older_list_drains_at_once_and_its_omissions_apply_after_a_second(edge):
-    """It was refused whole for 10 s; a change counts as told after 6."""
+    """The older list was refused for 10 s, while a change must apply within 6 s."""
     second, third = LIST["servers"][1:]
     older = page(3, {**FIRST, "state": "Terminating"}, {**second, "started_ms": 9_000}, full=True)
     began = edge.now
-    edge.say(up(edge), older)
+    edge.receive(connect_discovery(edge), older)
     assert states(edge) == {"s-1": "draining", "s-2": "ready", "s-3": "ready"}
     assert edge.core.nodes.effective["s-2"].online_since_ms == 9_000
     while states(edge)["s-3"] == "ready":
-        edge.pass_ms(10.0)
+        edge.advance_ms(10.0)
         if edge.core.list.state == "dialing":
-            edge.say(up(edge), older)
-    assert edge.now - began <= STALE_MS + 2 * PAUSE_MS[1]
+            edge.receive(connect_discovery(edge), older)
+    assert edge.now - began <= OLDER_DRAINS_ONLY_MS + 2 * RETRY_DELAY_MS[1]
 
 
 def test_backend_ready_in_an_older_list_only_stays_draining(edge):
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
-    edge.say(conn, page(8, {**FIRST, "state": "Terminating"}))
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
+    edge.receive(conn, page(8, {**FIRST, "state": "Terminating"}))
     for _ in range(40):
         if edge.core.list.state == "dialing":
-            edge.say(up(edge), answer(orjson.dumps(LIST)))
-        edge.pass_ms(100.0)
+            edge.receive(connect_discovery(edge), answer(orjson.dumps(LIST)))
+        edge.advance_ms(100.0)
         assert states(edge)["s-1"] == "draining"
 
 
 def test_delta_to_an_older_list_is_refused_and_the_full_list_requested(edge):
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
-    edge.say(conn, page(3, {**FIRST, "state": "Gone"}))
-    edge.pass_ms(100.0)
-    conn = up(edge)
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
+    edge.receive(conn, page(3, {**FIRST, "state": "Gone"}))
+    edge.advance_ms(100.0)
+    conn = connect_discovery(edge)
     assert calls(edge, conn) == [b"/catalog/members"] and states(edge)["s-1"] == "ready"
 
 
 class Agent:
-    """Discovery with its answers in the test's hand: each call goes as the script's next step says, the last of them
-    for good. Delays are the longest that still pass."""
+    """A discovery whose calls follow the given steps, of which the last repeats. Delays are the longest that pass."""
 
     def __init__(self, edge, steps):
-        self.edge, self.steps, self.due, self.seen = edge, list(steps), [], len(edge.seen)
+        self.edge, self.steps, self.due, self.seen = edge, list(steps), [], len(edge.commands)
         self.page = page(9, {**FIRST, "state": "Terminating"})
 
     def step(self):
         return self.steps[0] if len(self.steps) == 1 else self.steps.pop(0)
 
     def take(self):
-        """What the ingress ordered since; a dial or a call is answered when its time comes."""
-        for order in self.edge.seen[self.seen :]:
-            if isinstance(order, c.Dial) and order.port == 8500:
+        """Schedules the answers to new dials and calls of the ingress."""
+        for command in self.edge.commands[self.seen :]:
+            if isinstance(command, commands.Dial) and command.port == 8500:
                 how = self.step()
                 if how == "dial refused":
-                    self.due.append((self.edge.now + CONNECT_MS, self.edge.core.dial_failed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS, self.edge.core.dial_failed, command.conn))
                 else:
-                    self.due.append((self.edge.now + CONNECT_MS - 1, self.edge.core.dialed, order.conn))
+                    self.due.append((self.edge.now + CONNECT_TIMEOUT_MS - 1, self.edge.core.dialed, command.conn))
                     self.how = how
-            elif isinstance(order, c.Write) and b"GET /catalog" in order.data:
+            elif isinstance(command, commands.Write) and b"GET /catalog" in command.data:
                 part = {"half": self.page[:70], "good": self.page, "garbage": answer(b"{")}.get(self.how)
                 if part is not None:
-                    self.due.append((self.edge.now + LATE_MS - 1, self.edge.core.received, order.conn, part))
-        self.seen = len(self.edge.seen)
+                    self.due.append(
+                        (self.edge.now + ANSWER_TIMEOUT_MS - 1, self.edge.core.received, command.conn, part)
+                    )
+        self.seen = len(self.edge.commands)
 
     def run(self, until_ms, done):
-        """Play until ``done``; how long that took."""
+        """Runs until ``done`` returns true or the time is over; returns the time taken in milliseconds."""
         began = self.edge.now
         while not done() and self.edge.now - began < until_ms:
             self.take()
@@ -175,20 +184,20 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_change_applies_in_time_after_any_single_fault(edge, trouble):
-    """Two waits of 3 s each, a dial and a pause came to 6.5 s: the drain counted as told before."""
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
-    # The watch that has just been asked falls silent now, and now the change is there.
+    """Two waits of 3 s, a dial and a delay took 6.5 s, longer than a drain may take to apply."""
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
+    # The watch falls silent right after a call, and the change happens now.
     took = Agent(edge, [trouble, "good"]).run(10_000.0, lambda: states(edge)["s-1"] == "draining")
-    assert took <= WORST_MS <= 5_000.0
+    assert took <= MAX_CHANGE_DELAY_MS <= 5_000.0
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("before", [0.0, 100.0, 1_000.0, 2_300.0, 2_600.0, 3_100.0])
 def test_change_after_sighup_applies_in_time_after_any_fault(edge, trouble, before):
-    """Also where the address stays the same: only another one was asked at once."""
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
+    """Also if the address stays the same: only another address was called at once."""
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
     agent = Agent(edge, ["silent"])
     agent.run(before, lambda: False)
     agent.steps = [trouble, "good"]
@@ -198,38 +207,40 @@
 
 
 def test_returning_discovery_is_called_within_the_shortest_grace(edge):
-    """What the agent gets at its return counts at once, and a backend's grace may be a quarter of a second."""
+    """A change applies as soon as the agent has it, and a backend's grace may be a quarter of a second."""
     edge.core.dial_failed(edge.now, edge.core.list.conn)
     edge.turn()
-    for _ in range(20):  # down for long: the pause is as long as it gets
-        edge.pass_ms(PAUSE_MS[1])
+    for _ in range(20):  # down for long: the delay is at its longest
+        edge.advance_ms(RETRY_DELAY_MS[1])
         if edge.core.list.state == "dialing":
             edge.core.dial_failed(edge.now, edge.core.list.conn)
             edge.turn()
     began = edge.now
     while edge.core.list.state != "dialing":
-        edge.pass_ms(1.0)
-    assert edge.now - began <= PAUSE_MS[1] <= 250.0
+        edge.advance_ms(1.0)
+    assert edge.now - began <= RETRY_DELAY_MS[1] <= 250.0
 
 
 def test_older_list_that_persists_is_accepted(edge):
     for _ in range(200):
         if edge.core.list.state == "dialing":
-            edge.say(up(edge), page(3, LIST["servers"][0], full=True))
-        edge.pass_ms(100.0)
+            edge.receive(connect_discovery(edge), page(3, LIST["servers"][0], full=True))
+        edge.advance_ms(100.0)
     assert list(edge.core.nodes.effective) == ["s-1"] and edge.core.list.version == 3
 
 
 def test_backend_in_an_unknown_state_gets_no_new_requests(edge):
-    edge.say(up(edge), page(8, {**LIST["servers"][0], "state": "Odd"}, *LIST["servers"][1:], full=True))
+    edge.receive(
+        connect_discovery(edge), page(8, {**LIST["servers"][0], "state": "Odd"}, *LIST["servers"][1:], full=True)
+    )
     assert edge.core.nodes.effective["s-1"].state.value == "draining" and edge.core.list.log_events == []
     assert edge.core.nodes.effective["s-2"].state.value == "ready"
 
 
 def test_silent_agent_is_detected_soon_after_the_wait(edge):
-    conn = up(edge)
-    edge.say(conn, answer(orjson.dumps(LIST)))
-    edge.pass_ms(3500.0)
+    conn = connect_discovery(edge)
+    edge.receive(conn, answer(orjson.dumps(LIST)))
+    edge.advance_ms(3500.0)
     assert conn in edge.closed and edge.core.list.counts["silent"] == 1
 
 
@@ -253,18 +264,18 @@
         for line in (Path(__file__).parents[2] / "docs" / "edge.md").read_text().splitlines()
         if line.startswith("| ") and line.count("|") == 3
     )
-    first, most = PAUSE_MS
+    first, most = RETRY_DELAY_MS
     for figures, said in (
-        (f"{WAIT_MS:,.0f} + {LATE_MS:,.0f}", "the watch that was just asked falls silent"),
-        (f"{2 * first:.0f} + {CONNECT_MS:.0f} + {LATE_MS:.0f}", "a call that comes to nothing"),
-        (f"{first:.0f} + {CONNECT_MS:.0f} + {LATE_MS:.0f}", "the call that brings it"),
-        (f"{WORST_MS:,.0f}, of 6,000", "together"),
-        (f"the same {WORST_MS:,.0f}", "falls silent late"),
-        (f"{TRY_MS + first:,.0f}", "ends instead of telling"),
-        (f"{2 * TRY_MS + 3 * first:,.0f}", "one call in vain before it"),
-        (f"{2 * TRY_MS + 2 * first:,.0f}, of 4,000", "after SIGHUP, at any of these moments"),
+        (f"{WATCH_WAIT_MS:,.0f} + {ANSWER_TIMEOUT_MS:,.0f}", "the watch that was just asked falls silent"),
+        (f"{2 * first:.0f} + {CONNECT_TIMEOUT_MS:.0f} + {ANSWER_TIMEOUT_MS:.0f}", "a call that comes to nothing"),
+        (f"{first:.0f} + {CONNECT_TIMEOUT_MS:.0f} + {ANSWER_TIMEOUT_MS:.0f}", "the call that brings it"),
+        (f"{MAX_CHANGE_DELAY_MS:,.0f}, of 6,000", "together"),
+        (f"the same {MAX_CHANGE_DELAY_MS:,.0f}", "falls silent late"),
+        (f"{CALL_MS + first:,.0f}", "ends instead of telling"),
+        (f"{2 * CALL_MS + 3 * first:,.0f}", "one call in vain before it"),
+        (f"{2 * CALL_MS + 2 * first:,.0f}, of 4,000", "after SIGHUP, at any of these moments"),
         (f"{most:.0f}, then at once", "discovery back"),
-        (f"{STALE_MS:,.0f} and one more call", "an older list: what it lacks"),
-        (f"{STALE_MS + 2 * TRY_MS + most:,.0f}, of 4,000", "a discovery whose versions begin lower"),
+        (f"{OLDER_DRAINS_ONLY_MS:,.0f} and one more call", "an older list: what it lacks"),
+        (f"{OLDER_DRAINS_ONLY_MS + 2 * CALL_MS + most:,.0f}, of 4,000", "a discovery whose versions begin lower"),
     ):  # fmt: skip
         assert said in rows.get(figures, ""), figures
