--- a/rushweir/fleet/exchange.py
+++ b/rushweir/fleet/exchange.py
@@ -103,7 +103,7 @@
         self.rng.shuffle(buckets)
         if len(buckets) <= SKETCH_THRESHOLD_SHARE * BUCKETS:
             if wants_rows:
-                # The view first
+                # The buckets with slots first, so that the view arrives first.
                 buckets.sort(key=lambda bucket: not any(kind == SLOT for kind, _ in table.keys(bucket)))
             for bucket in buckets[:MAX_BUCKETS_PER_COMPARISON]:
                 rows = [table.row(k) for k in table.keys(bucket)]
