--- a/rushweir/ingress/transports.py
+++ b/rushweir/ingress/transports.py
@@ -1,4 +1,4 @@
-"""What stands on asyncio's transports for the shell: connections, the datagram socket, and one that only sends."""
+"""The shell's asyncio protocols: connections, the datagram socket, and a datagram socket that only sends."""
 
 from __future__ import annotations
 
@@ -11,49 +11,54 @@
     from rushweir.ingress.shell import Shell
 
 
-HALF_CLOSED_S = 1.0  # for the last bytes to a client that ended its sending
+HALF_CLOSED_S = 1.0  # time to send the last bytes to a client that closed its sending direction
 
 
 class Sender:
-    """The datagram socket of an ingress that only sends any more. (A transport can't stop reading.)"""
+    """A datagram socket that only sends, for an ingress that hands off: asyncio's transport can't stop reading."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock.dup()
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        with contextlib.suppress(OSError):  # a datagram that does not go is a datagram lost
+        """Send a datagram; one that can't be sent is lost."""
+        with contextlib.suppress(OSError):
             self.sock.sendto(data, address)
 
     def is_closing(self) -> bool:
+        """Whether the socket is closed."""
         return self.sock.fileno() < 0
 
     def close(self) -> None:
+        """Close the socket."""
         self.sock.close()
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection, of a client (``conn`` is None until it is made) or dialed. Its calls come straight from
-    the event loop's reading: with streams, a task's wake-up lay between each read and the core."""
+    """One connection, of a client (``conn`` is None until it is made) or dialed. The event loop calls it directly
+    as it reads; with streams, a task would have to wake up between each read and the core."""
 
     def __init__(self, shell: Shell, conn: int | None = None) -> None:
-        self.shell, self.conn, self.ended = shell, conn, False
-        self.transport: asyncio.Transport | None = None  # of a client
+        self.shell = shell
+        self.conn = conn
+        self.ended = False
+        self.transport: asyncio.Transport | None = None  # of a client's connection
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         shell = self.shell
         transport.set_write_buffer_limits(high=shell.high_water)
         if self.conn is None:
-            where = transport.get_extra_info("peername") or ("",)
-            self.conn = shell.core.accepted(shell.clock(), where[0])
+            address = transport.get_extra_info("peername") or ("",)
+            self.conn = shell.core.accepted(shell.clock(), address[0])
             shell.transports[self.conn] = transport
             self.transport = transport
             sock = transport.get_extra_info("socket")
-            # The transport's own descriptor, to be looked at without reading from it; given back before it closes.
+            # A socket object on the transport's descriptor, to peek at its input; detached before that closes.
             shell.clients[self.conn] = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
         elif self.conn in shell.core.upstream_handlers:
             shell.transports[self.conn] = transport
             shell.core.dialed(shell.clock(), self.conn)
-        else:  # given up meanwhile
+        else:  # the core has given up on it
             transport.abort()
         shell.carry_out()
 
@@ -61,24 +66,25 @@
         return self.shell.buffer
 
     def buffer_updated(self, count: int) -> None:
-        # An update of the list counts from the clock taken here.
+        # The clock is read here: it is the time at which an update of the node list was read.
         shell = self.shell
         shell.core.received(shell.clock(), self.conn, bytes(shell.buffer[:count]))
         shell.carry_out()
 
     def eof_received(self) -> bool:
         if self.transport is not None and self.transport.get_write_buffer_size():
-            # A client that only ended its sending, and takes nothing, would hold its descriptor for good.
+            # A client that closed its sending direction and reads nothing would hold its descriptor for ever.
             self.shell.loop.call_later(HALF_CLOSED_S, self.transport.abort)
         self._end()
-        return False  # what waits to be written still goes out, then the transport closes
+        return False  # the transport closes once its unsent bytes are written
 
     def connection_lost(self, problem: Exception | None) -> None:
         self._end()
 
     def _end(self) -> None:
         if not self.ended:
-            self.ended, shell = True, self.shell
+            self.ended = True
+            shell = self.shell
             shell.transports.pop(self.conn, None)
             if (sock := shell.clients.pop(self.conn, None)) is not None:
                 sock.detach()
@@ -92,6 +98,8 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
+    """The datagram socket of the peers and the fleet."""
+
     def __init__(self, shell: Shell) -> None:
         self.shell = shell
 
@@ -100,4 +108,4 @@
         self.shell.carry_out()
 
     def error_received(self, error: OSError) -> None:
-        """A peer that is down answers with an ICMP error; that it is down shows in its silence."""
+        """Ignores ICMP errors of peers that are down: a peer that is down is noticed by its silence."""
--- a/tests/edge/test_shell.py
+++ b/tests/edge/test_shell.py
@@ -30,9 +30,9 @@
         await asyncio.sleep(0)
         before = descriptors()
         conn = live.core.new_conn(None)
-        live.shell.carry[c.Dial](c.Dial(conn, *full.getsockname(), 60_000.0))
+        live.shell.handlers[c.Dial](c.Dial(conn, *full.getsockname(), 60_000.0))
         await live.until(lambda: descriptors() == before + 1)
-        live.shell.carry[c.AbortConnection](c.AbortConnection(conn))
+        live.shell.handlers[c.AbortConnection](c.AbortConnection(conn))
         await live.until(lambda: descriptors() == before)
         assert not live.shell.dials
         for sock in (*fill, full):
