--- a/tests/lanes.py
+++ b/tests/lanes.py
@@ -35,7 +35,7 @@
         "tests/daemon/test_handover.py",
         "tests/daemon/test_take_over_rollout.py",
         "tests/ingress/test_end_to_end.py",
-        "tests/ingress/test_hard_cases.py",
+        "tests/ingress/test_failures.py",
         "tests/ingress/test_own_overload.py",
         "tests/ingress/test_reload.py",
         "tests/edge/test_closing.py",
