--- a/tests/lanes.py
+++ b/tests/lanes.py
@@ -37,6 +37,7 @@
         "tests/ingress/test_end_to_end.py",
         "tests/ingress/test_failures.py",
         "tests/ingress/test_own_overload.py",
+        "tests/ingress/test_policy_faults.py",
         "tests/ingress/test_reload.py",
         "tests/edge/test_closing.py",
         "tests/edge/test_deploy.py",
