--- a/rushweir/ingress/core.py
+++ b/rushweir/ingress/core.py
@@ -377,8 +377,8 @@
         self._process()
 
     def is_idle(self) -> bool:
-        """Whether no client waits: all requests are answered, none is being read, and each client was told that its
-        connection closes, or connected after the shutdown began."""
+        """Whether no client waits: all requests are answered, none is being read, and each client was notified that
+        its connection closes, or connected after the shutdown began."""
         return self.engine.ledger.unanswered == 0 and all(
             k.ended or (k.front.state in (CLOSING, HEAD, HTTP) and not k.front.partial_message)
             for k in self.clients.open.values()
--- a/rushweir/ingress/shell.py
+++ b/rushweir/ingress/shell.py
@@ -1,6 +1,6 @@
 """The asyncio shell around a Core: transports, a datagram socket, a clock and files. It decides nothing.
 
-Commands are carried out in the command in which they were given. One timer of the event loop stands for all timers of
+Commands are carried out in the order in which they were given. One timer of the event loop stands for all timers of
 the core. Input goes to the core in the same turn of the loop; output is handed to the transport at once. A connection
 whose transport holds more than ``HIGH_WATER`` bytes is reported as congested until they are sent.
 """
@@ -95,11 +95,11 @@
             commands.Dial: self._dial,
             commands.CloseConnection: self._close,
             commands.AbortConnection: self._abort,
-            commands.SendPeerDatagram: self._datagram,
-            commands.SaveList: self._save,
-            commands.SendDatagram: self._send_to,
+            commands.SendPeerDatagram: self._send_peer_datagram,
+            commands.SaveList: self._save_list,
+            commands.SendDatagram: self._send_datagram,
             commands.SaveFile: self._save_file,
-            commands.SetPeerAddresses: self._peers,
+            commands.SetPeerAddresses: self._set_peer_addresses,
             commands.EndProcess: lambda command: end(command.reason) if end is not None else None,
             commands.LogEvent: log or (lambda _: None),
         }
@@ -320,16 +320,16 @@
                 transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
             transport.abort()
 
-    def _datagram(self, command: commands.SendPeerDatagram) -> None:
+    def _send_peer_datagram(self, command: commands.SendPeerDatagram) -> None:
         address = self.peers.get(command.peer)
         if self.udp is not None and address is not None and not self.udp.is_closing():
             self.udp.sendto(command.data, address)
 
-    def _send_to(self, command: commands.SendDatagram) -> None:
+    def _send_datagram(self, command: commands.SendDatagram) -> None:
         if self.udp is not None and not self.udp.is_closing():
             self.udp.sendto(command.data, command.address)
 
-    def _peers(self, command: commands.SetPeerAddresses) -> None:
+    def _set_peer_addresses(self, command: commands.SetPeerAddresses) -> None:
         self.peers = command.addresses
 
     def _save_file(self, command: commands.SaveFile) -> None:
@@ -347,13 +347,13 @@
             self.core.file_saved(self.clock(), command.serial)
         self.carry_out()
 
-    def _save(self, command: commands.SaveList) -> None:
+    def _save_list(self, command: commands.SaveList) -> None:
         """Write the node list in a thread; of several lists that come meanwhile only the last is written."""
         self.saving = command.data
         if self.list_file is not None and self.saver is None:
-            self.saver = self.loop.create_task(self._save_all())
+            self.saver = self.loop.create_task(self._write_lists())
 
-    async def _save_all(self) -> None:
+    async def _write_lists(self) -> None:
         assert self.list_file is not None
         while (data := self.saving) is not None:
             self.saving = None
