--- a/benchmarks/cost_routes.py
+++ b/benchmarks/cost_routes.py
@@ -11,22 +11,24 @@
 import re
 import time
 
-from rushweir.costs.decisions import CostRules, Counts, Rule, Term, price
-from rushweir.costs.routes import Routes, pattern, rpc_route
+from rushweir.costs.decisions import CostRules, Rule, Term, TermKind, price
+from rushweir.costs.routes import Routes, parse_pattern, rpc_route
 
 BODY = {"trip": {"from": "Keleti", "to": "Ferihegy", "stops": ["a", "b", "c"]}, "people": 3, "note": "x" * 300}
 TERMS = (
-    Term(Counts.SIZE, (), 100), Term(Counts.ENTRIES, ("trip", "stops"), 500), Term(Counts.VALUE, ("people",), 250),
-)  # fmt: skip
+    Term(TermKind.SIZE, (), 100),
+    Term(TermKind.ENTRIES, ("trip", "stops"), 500),
+    Term(TermKind.VALUE, ("people",), 250),
+)
 
 
 def expression(text: str) -> re.Pattern[str]:
-    parts = [r"[^.]+" if s.startswith("{") else r".*" if s == "**" else re.escape(s) for s in pattern(text)[1:]]
+    parts = [r"[^.]+" if s.startswith("{") else r".*" if s == "**" else re.escape(s) for s in parse_pattern(text)[1:]]
     return re.compile(r"\.".join(parts) + r"\Z")
 
 
 def exactness(text: str) -> tuple[int, ...]:
-    return tuple(2 if s == "**" else 1 if s.startswith("{") else 0 for s in pattern(text))
+    return tuple(2 if s == "**" else 1 if s.startswith("{") else 0 for s in parse_pattern(text))
 
 
 def timed(ask, methods: list[str]) -> float:
@@ -57,7 +59,7 @@
         print(
             f"{count:6} routes: trie {timed(lambda m: routes.find(rpc_route(m)), methods):6.2f} us, "  # noqa: B023
             f"list {timed(search, few):8.2f} us; a request priced, 3 terms, 0.4 KB body: "
-            f"{timed(lambda m: rules.rpc(m, BODY), methods):6.2f} us"  # noqa: B023
+            f"{timed(lambda m: rules.price_rpc(m, BODY), methods):6.2f} us"  # noqa: B023
         )
     print(f"a price without its route: {timed(lambda _: price(Rule('x', 1000, TERMS), BODY), ['x'] * 2000):6.2f} us")
 
--- a/rushweir/config/checks.py
+++ b/rushweir/config/checks.py
@@ -10,7 +10,7 @@
 from rushweir.config.private import read_key, read_private
 from rushweir.config.text import ConfigError, Problem, Spot
 from rushweir.console.sessions import read_users
-from rushweir.costs.routes import RouteError, shape
+from rushweir.costs.routes import RouteError, pattern_shape
 from rushweir.rollout.ceilings import MOST_PLANS
 
 
@@ -90,11 +90,11 @@
     out, forms = [], dict[tuple[str, ...], str]()
     for name in costs.put:
         try:
-            form = shape(name)
+            form = pattern_shape(name)
         except RouteError as problem:
             out.append(Problem(spots[("costs", name)], f"cost: {problem}"))
             continue
-        there = costs.group.routes.at(form)
+        there = costs.group.routes.rule_of_shape(form)
         other = there.name if there is not None and there.name not in costs.gone else name
         if forms.setdefault(form, other) != name:
             text = f"cost: {name}: stands twice, or differs in the names of its parts only"
--- a/rushweir/config/compact.py
+++ b/rushweir/config/compact.py
@@ -15,8 +15,7 @@
 from rushweir.config import models as m
 from rushweir.config.text import Spot
 from rushweir.costs import amounts
-from rushweir.costs.decisions import Counts, Rule, Term
-from rushweir.costs.decisions import field as field_of
+from rushweir.costs.decisions import Rule, Term, TermKind, parse_field
 from rushweir.costs.routes import Routes
 from rushweir.fronts.credentials import Credentials
 
@@ -184,22 +183,22 @@
 
     @staticmethod
     def block(rule: Rule) -> m.CostBlock:
-        def of(counts: Counts) -> tuple:
-            return tuple((".".join(t.field), amounts.Amount(t.amount)) for t in rule.terms if t.counts is counts)
+        def of(counts: TermKind) -> tuple:
+            return tuple((".".join(t.field), amounts.Amount(t.amount)) for t in rule.terms if t.kind is counts)
 
-        size = of(Counts.SIZE)
+        size = of(TermKind.SIZE)
         return m.CostBlock.model_construct(
-            base=amounts.Amount(rule.base), per_kilobyte=size[0][1] if size else m.NOTHING, each=of(Counts.ENTRIES),
-            times=of(Counts.VALUE), present=of(Counts.THERE), least=amounts.Amount(rule.least),
-            most=None if rule.most == amounts.MOST else amounts.Amount(rule.most),
+            base=amounts.Amount(rule.base), per_kilobyte=size[0][1] if size else m.NOTHING, each=of(TermKind.ENTRIES),
+            times=of(TermKind.VALUE), present=of(TermKind.PRESENT), least=amounts.Amount(rule.minimum),
+            most=None if rule.maximum == amounts.MAX_AMOUNT else amounts.Amount(rule.maximum),
         )  # fmt: skip
 
     def recorded(self, name: str, b: m.CostBlock) -> Rule:
-        terms = [(Counts.SIZE, "", int(b.per_kilobyte))] if b.per_kilobyte else []
-        for counts, given in ((Counts.ENTRIES, b.each), (Counts.VALUE, b.times), (Counts.THERE, b.present)):
+        terms = [(TermKind.SIZE, "", int(b.per_kilobyte))] if b.per_kilobyte else []
+        for counts, given in ((TermKind.ENTRIES, b.each), (TermKind.VALUE, b.times), (TermKind.PRESENT, b.present)):
             terms += [(counts, name, int(amount)) for name, amount in given]
-        # An amount that can be written is below amounts.MOST, so that stands for none given.
-        most = amounts.MOST if b.most is None else int(b.most)
+        # An amount that can be written is below amounts.MAX_AMOUNT, so that stands for none given.
+        most = amounts.MAX_AMOUNT if b.most is None else int(b.most)
         return Rule(name, int(b.base), _terms(tuple(terms)), int(b.least), most, self)
 
     def put(self, name: str, rule: Rule, place: Place) -> None:
@@ -256,7 +255,7 @@
 @lru_cache(maxsize=1024)
 def _terms(given: tuple) -> tuple[Term, ...]:
     """Routes that count alike share what they count."""
-    return tuple(Term(counts, field_of(name) if name else (), amount) for counts, name, amount in given)
+    return tuple(Term(counts, parse_field(name) if name else (), amount) for counts, name, amount in given)
 
 
 class Delta:
--- a/rushweir/config/load.py
+++ b/rushweir/config/load.py
@@ -143,7 +143,7 @@
         if not (f.pricing is not None or len(f.costs) if priced is None else priced):
             return None
         most = amounts.parse(f"{f.limits.largest_request:.3f}")
-        rules = CostRules(Rule("default", f.pricing.default if f.pricing else m.ONE_UNIT), most=most)
+        rules = CostRules(Rule("default", f.pricing.default if f.pricing else m.ONE_UNIT), max_amount=most)
         rules.routes = f.costs.routes  # the same trie: what changes in it is found by the next request
         return rules
 
--- a/rushweir/config/models.py
+++ b/rushweir/config/models.py
@@ -23,7 +23,7 @@
     Whole,
 )
 from rushweir.costs import amounts
-from rushweir.costs.decisions import MOST_TERMS
+from rushweir.costs.decisions import MAX_TERMS
 from rushweir.rollout.ceilings import MOST_PLANS
 
 Name = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[^\x00-\x1f\x7f]+$")]
@@ -184,7 +184,7 @@
 
 
 Terms = Annotated[tuple[tuple[BodyField, Amount], ...], Field(json_schema_extra=EACH_LINE)]
-ONE_UNIT = amounts.Amount(amounts.THOUSANDTHS)
+ONE_UNIT = amounts.Amount(amounts.THOUSANDTHS_PER_UNIT)
 NOTHING = amounts.Amount(0)
 
 
@@ -209,8 +209,8 @@
     def _fits(self) -> CostBlock:
         if self.most is not None and self.least > self.most:
             raise ValueError("least: no more than most")
-        if len(self.each) + len(self.times) + len(self.present) >= MOST_TERMS:
-            raise ValueError(f"cost: fewer than {MOST_TERMS} terms")
+        if len(self.each) + len(self.times) + len(self.present) >= MAX_TERMS:
+            raise ValueError(f"cost: fewer than {MAX_TERMS} terms")
         return self
 
 
--- a/rushweir/config/values.py
+++ b/rushweir/config/values.py
@@ -96,7 +96,7 @@
 
 def body_field(word: Any) -> str:
     """A field of a body, ``trip.stops``."""
-    return ".".join(costs.field(str(word)))
+    return ".".join(costs.parse_field(str(word)))
 
 
 Duration = Annotated[float, BeforeValidator(duration)]
@@ -122,7 +122,7 @@
     if read is own_number and value == -1:
         return ["auto"]
     if isinstance(value, amounts.Amount):
-        return [amounts.text(value)]
+        return [amounts.to_text(value)]
     if isinstance(value, bool):
         return ["on" if value else "off"]
     if isinstance(value, float):
--- a/rushweir/costs/amounts.py
+++ b/rushweir/costs/amounts.py
@@ -1,7 +1,7 @@
 """Amounts: whole thousandths of a unit, from parsing to the ledger. No I/O.
 
 Sums of floats depend on their order, and two ledgers that hold the same entries would differ; whole numbers do not.
-Only the decision module counts in floats: ``units`` is where an amount crosses over, and its rounding is that of
+Only the decision module counts in floats: ``to_units`` is where an amount crosses over, and its rounding is that of
 one division, at most 2**-53 of the amount.
 """
 
@@ -9,8 +9,8 @@
 
 import re
 
-THOUSANDTHS = 1_000
-MOST = 10**12  # of one request or answer: a thousand million units; what is more is a fault of its sender
+THOUSANDTHS_PER_UNIT = 1_000
+MAX_AMOUNT = 10**12  # of one request or answer: a thousand million units; what is more is a fault of its sender
 
 
 class Amount(int):
@@ -23,27 +23,27 @@
     found = re.fullmatch(r"(\d{1,9})(?:\.(\d{1,3}))?", text)
     if found is None:
         raise ValueError("an amount such as 2 or 0.25, with three decimals at most")
-    return int(found[1]) * THOUSANDTHS + int((found[2] or "").ljust(3, "0"))
+    return int(found[1]) * THOUSANDTHS_PER_UNIT + int((found[2] or "").ljust(3, "0"))
 
 
-def text(amount: int) -> str:
+def to_text(amount: int) -> str:
     """An amount as ``parse`` takes it."""
-    whole, rest = divmod(abs(amount), THOUSANDTHS)
+    whole, rest = divmod(abs(amount), THOUSANDTHS_PER_UNIT)
     sign = "-" if amount < 0 else ""
     return f"{sign}{whole}" + (f".{rest:03d}".rstrip("0") if rest else "")
 
 
-def units(amount: int) -> float:
+def to_units(amount: int) -> float:
     """An amount for the module."""
-    return amount / THOUSANDTHS
+    return amount / THOUSANDTHS_PER_UNIT
 
 
-def truth(value: object) -> int | None:
+def actual_cost(value: object) -> int | None:
     """The amount that an answer names, or None where it names none that can be: no number, not finite, negative,
-    or more than ``MOST``. Rounded to the nearest thousandth, halves up; of a float that is off by half a thousandth
-    and its own 2**-53 at most."""
+    or more than ``MAX_AMOUNT``. Rounded to the nearest thousandth, halves up; of a float that is off by half a
+    thousandth and its own 2**-53 at most."""
     if type(value) is int:
-        return value * THOUSANDTHS if 0 <= value <= MOST // THOUSANDTHS else None
-    if type(value) is float and 0 <= value <= MOST / THOUSANDTHS:  # not for NaN either
-        return int(value * THOUSANDTHS + 0.5)
+        return value * THOUSANDTHS_PER_UNIT if 0 <= value <= MAX_AMOUNT // THOUSANDTHS_PER_UNIT else None
+    if type(value) is float and 0 <= value <= MAX_AMOUNT / THOUSANDTHS_PER_UNIT:  # not for NaN either
+        return int(value * THOUSANDTHS_PER_UNIT + 0.5)
     return None
--- a/rushweir/costs/decisions.py
+++ b/rushweir/costs/decisions.py
@@ -23,28 +23,28 @@
 from rushweir.costs.routes import Routes, http_route, rpc_route
 
 KILOBYTE = 1024
-MOST_TERMS, MOST_DEPTH = 32, 8
+MAX_TERMS, MAX_DEPTH = 32, 8
 FIELD = re.compile(r"[^\s.{}\"#]{1,64}(?:\.[^\s.{}\"#]{1,64}){0,7}\Z")
 MOST_VALUE = 10**6  # a number in a body counts for no more
 
 
-class Counts(Enum):
+class TermKind(Enum):
     """What a term counts."""
 
     SIZE = "per-kilobyte"  # of the body as compact JSON: white space is no work
     ENTRIES = "each"  # entries of an array
     VALUE = "times"  # a number
-    THERE = "present"  # whether a field is there, and neither null nor false
+    PRESENT = "present"  # whether a field is there, and neither null nor false
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    counts: Counts
+    kind: TermKind
     field: tuple[str, ...]
     amount: int  # thousandths, for each counted
 
     def __str__(self) -> str:
-        return f"{self.counts.value} {'.'.join(self.field)}".strip()
+        return f"{self.kind.value} {'.'.join(self.field)}".strip()
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +54,12 @@
     name: str  # the pattern, or "default"
     base: int
     terms: tuple[Term, ...] = ()
-    least: int = 0
-    most: int = amounts.MOST
+    minimum: int = 0
+    maximum: int = amounts.MAX_AMOUNT
     places: Any = record_field(default=None, compare=False, repr=False)  # of the settings, asked when needed
 
     @property
-    def where(self) -> str:
+    def location(self) -> str:
         """The place in the settings, FILE:LINE."""
         return self.places.origin(self.name) if self.places is not None else ""
 
@@ -73,35 +73,36 @@
     parts: tuple[tuple[str, int, int], ...] = ()  # term, how many were counted (thousandths), what it added
 
 
-def field(text: str) -> tuple[str, ...]:
+def parse_field(text: str) -> tuple[str, ...]:
     """The names of a field such as ``trip.stops``. Raises ValueError."""
     if not FIELD.match(text):
-        raise ValueError(f"a field such as trip.stops, {MOST_DEPTH} names deep at most")
+        raise ValueError(f"a field such as trip.stops, {MAX_DEPTH} names deep at most")
     return tuple(text.split("."))
 
 
 class CostRules:
     """All rules, compiled; one that stands for a route that has none."""
 
-    def __init__(self, default: Rule, rules: Iterable[Rule] = (), most: int = amounts.MOST) -> None:
-        """``most``: what any request costs at most. Raises RouteError."""
-        self.default, self.most = default, most
+    def __init__(self, default: Rule, rules: Iterable[Rule] = (), max_amount: int = amounts.MAX_AMOUNT) -> None:
+        """``max_amount``: what any request costs at most. Raises RouteError."""
+        self.default = default
+        self.max_amount = max_amount
         self.routes: Routes[Rule] = Routes()
         for rule in rules:
             self.routes.add(rule.name, rule)
 
-    def rpc(self, method: str, body: Any) -> Price:
+    def price_rpc(self, method: str, body: Any) -> Price:
         """The price of a JSON-RPC request."""
         return self._price(self.routes.find(rpc_route(method)) or self.default, body)
 
-    def http(self, verb: str, path: str, body: Any) -> Price:
+    def price_http(self, verb: str, path: str, body: Any) -> Price:
         """The price of an HTTP request; a rule for any method (``*``) is found where none names this one."""
         rule = self.routes.find(http_route(verb, path))
         return self._price(rule or self.default, body)
 
     def _price(self, rule: Rule, body: Any) -> Price:
         found = price(rule, body)
-        return found if found.amount <= self.most else replace(found, amount=self.most)
+        return found if found.amount <= self.max_amount else replace(found, amount=self.max_amount)
 
 
 def price(rule: Rule, body: Any) -> Price:
@@ -113,19 +114,19 @@
             added = (count * term.amount + 500) // 1000
             whole += added
             parts.append((str(term), count, added))
-    return Price(min(rule.most, max(rule.least, whole)), rule, tuple(parts))
+    return Price(min(rule.maximum, max(rule.minimum, whole)), rule, tuple(parts))
 
 
 def _count(term: Term, body: Any) -> int:
     """How many a term counts, in thousandths."""
-    if term.counts is Counts.SIZE:
+    if term.kind is TermKind.SIZE:
         return 0 if body is None else len(orjson.dumps(body)) * 1000 // KILOBYTE
     for name in term.field:
         if type(body) is not dict or (body := body.get(name)) is None:
             return 0
-    if term.counts is Counts.ENTRIES:
+    if term.kind is TermKind.ENTRIES:
         return len(body) * 1000 if type(body) is list else 0
-    if term.counts is Counts.THERE:
+    if term.kind is TermKind.PRESENT:
         return 1000 if body is not False else 0
     if type(body) is int:
         return min(MOST_VALUE, max(0, body)) * 1000
--- a/rushweir/costs/explain.py
+++ b/rushweir/costs/explain.py
@@ -20,13 +20,16 @@
         if not isinstance(call, rpc.Call):
             raise ValueError(str(call) if isinstance(call, rpc.RpcError) else "an answer, no request")
         data = call.params.get("data") if isinstance(call.params, dict) else None
-        price = rules.rpc(call.method, data)
+        price = rules.price_rpc(call.method, data)
         found.append(
             {
-                "method": call.method, "cost": amounts.text(price.amount), "rule": price.rule.name,
-                "where": price.rule.where, "parts": [
-                    {"term": "base", "counted": "1", "adds": amounts.text(price.rule.base)},
-                    *({"term": t, "counted": amounts.text(n), "adds": amounts.text(a)} for t, n, a in price.parts),
+                "method": call.method, "cost": amounts.to_text(price.amount), "rule": price.rule.name,
+                "where": price.rule.location, "parts": [
+                    {"term": "base", "counted": "1", "adds": amounts.to_text(price.rule.base)},
+                    *(
+                        {"term": t, "counted": amounts.to_text(n), "adds": amounts.to_text(a)}
+                        for t, n, a in price.parts
+                    ),
                 ],
             }
         )  # fmt: skip
--- a/rushweir/costs/routes.py
+++ b/rushweir/costs/routes.py
@@ -17,7 +17,7 @@
 
 Rule = TypeVar("Rule")
 
-MOST_SEGMENTS = 32  # of a pattern, and of a route that is looked at; a longer route has no rule of its own
+MAX_SEGMENTS = 32  # of a pattern, and of a route that is looked at; a longer route has no rule of its own
 ONE = re.compile(r"\{[A-Za-z_][A-Za-z0-9_]*\}\Z")
 TEXT = re.compile(r"[^\s{}*/]+\Z")
 VERBS = re.compile(r"(?:[A-Z]{1,16}|\*)\Z")
@@ -27,7 +27,7 @@
     """A pattern that is none, or that stands twice."""
 
 
-def pattern(text: str) -> tuple[str, ...]:
+def parse_pattern(text: str) -> tuple[str, ...]:
     """The segments of a pattern, the kind of route first. Raises RouteError."""
     verb, space, path = text.partition(" ")
     if space:
@@ -42,32 +42,32 @@
                 raise RouteError("** can only stand last")
         elif not (ONE.match(s) or TEXT.match(s) or (k == 1 and s == "*" and space) or (s == "" and space)):
             raise RouteError(f"{s!r} is no segment: a text, {{name}}, or ** at the end")
-    if len(segments) > MOST_SEGMENTS:
-        raise RouteError(f"{MOST_SEGMENTS} segments at most")
+    if len(segments) > MAX_SEGMENTS:
+        raise RouteError(f"{MAX_SEGMENTS} segments at most")
     return segments
 
 
-def shape(text: str) -> tuple[str, ...]:
+def pattern_shape(text: str) -> tuple[str, ...]:
     """The segments of a pattern, whatever its parts are called. Raises RouteError."""
-    return tuple("{}" if s == "*" or ONE.match(s) else s for s in pattern(text))
+    return tuple("{}" if s == "*" or ONE.match(s) else s for s in parse_pattern(text))
 
 
 def rpc_route(method: str) -> tuple[str, ...]:
-    return ("rpc", *method.split(".", MOST_SEGMENTS + 1))
+    return ("rpc", *method.split(".", MAX_SEGMENTS + 1))
 
 
 def http_route(verb: str, path: str) -> tuple[str, ...]:
-    return ("http", verb, *path.lstrip("/").split("/", MOST_SEGMENTS + 1))
+    return ("http", verb, *path.lstrip("/").split("/", MAX_SEGMENTS + 1))
 
 
 NOTHING: dict = {}  # below a leaf: most nodes are leaves, and a dict of its own each would be half of their memory
 
 
 class Node(Generic[Rule]):
-    __slots__ = ("one", "rest", "rule", "texts")
+    __slots__ = ("one", "rest", "rule", "static")
 
     def __init__(self) -> None:
-        self.texts: dict[str, Node[Rule]] = NOTHING  # replaced before it is written to
+        self.static: dict[str, Node[Rule]] = NOTHING  # replaced before it is written to
         self.one: Node[Rule] | None = None  # any one segment
         self.rest: Rule | None = None  # whatever follows
         self.rule: Rule | None = None  # the route ends here
@@ -83,7 +83,7 @@
     def add(self, text: str, rule: Rule) -> None:
         """Raises RouteError."""
         node = self.root
-        segments = pattern(text)
+        segments = parse_pattern(text)
         for s in segments:
             if s == "**":
                 if node.rest is not None:
@@ -95,10 +95,10 @@
                 node.one = node.one or Node()
                 node = node.one
             else:
-                if (below := node.texts.get(s)) is None:
+                if (below := node.static.get(s)) is None:
                     below = Node()
-                    node.texts = node.texts or {}
-                    node.texts[s] = below
+                    node.static = node.static or {}
+                    node.static[s] = below
                 node = below
         if node.rule is not None:
             raise RouteError(f"{text}: stands twice, or differs in the names of its parts only")
@@ -108,11 +108,11 @@
     def remove(self, text: str) -> Rule | None:
         """Take a pattern out, with the nodes that then lead nowhere; its rule, None where it does not stand."""
         node, way = self.root, list[tuple[Node[Rule], str | None]]()
-        *others, last = pattern(text)
+        *others, last = parse_pattern(text)
         for s in others if last == "**" else (*others, last):
             one = s == "*" or bool(ONE.match(s))
             way.append((node, None if one else s))
-            below = node.one if one else node.texts.get(s)
+            below = node.one if one else node.static.get(s)
             if below is None:
                 return None
             node = below
@@ -121,28 +121,28 @@
         else:
             rule, node.rule = node.rule, None
         self.size -= rule is not None
-        while way and not (node.texts or node.one or node.rest is not None or node.rule is not None):
+        while way and not (node.static or node.one or node.rest is not None or node.rule is not None):
             node, s = way.pop()
             if s is None:
                 node.one = None
             else:
-                del node.texts[s]
+                del node.static[s]
         return rule
 
-    def at(self, shape: tuple[str, ...]) -> Rule | None:
+    def rule_of_shape(self, shape: tuple[str, ...]) -> Rule | None:
         """The rule of a pattern by its shape; None: there is none."""
         node: Node[Rule] | None = self.root
         for s in shape:
             if s == "**":
                 return node.rest
-            node = node.one if s == "{}" else node.texts.get(s)
+            node = node.one if s == "{}" else node.static.get(s)
             if node is None:
                 return None
         return node.rule
 
     def find(self, route: tuple[str, ...]) -> Rule | None:
         """The rule of a route, as ``rpc_route`` and ``http_route`` give it."""
-        if len(route) > MOST_SEGMENTS:
+        if len(route) > MAX_SEGMENTS:
             return None
         # Depth first, the more exact branch first: the first that matches is the most exact of all. A branch is
         # left for good, so no node is visited twice, and there are no more of them than the rules made.
@@ -161,7 +161,7 @@
                 stack.append((node, at, True))
             if node.one is not None:
                 stack.append((node.one, at + 1, False))
-            if (text := node.texts.get(route[at])) is not None:
+            if (text := node.static.get(route[at])) is not None:
                 stack.append((text, at + 1, False))
         return None
 
@@ -170,4 +170,4 @@
         while nodes:
             node = nodes.pop()
             yield from (r for r in (node.rule, node.rest) if r is not None)
-            nodes += [*node.texts.values(), *([node.one] if node.one else [])]
+            nodes += [*node.static.values(), *([node.one] if node.one else [])]
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -294,7 +294,7 @@
             )
         if self.settings.costs is not None:
             # Priced by its content, not by the units that it claims, which would let clients evade the quota.
-            units = amounts.units(self.settings.costs.rpc(call.method, params.get("data")).amount)
+            units = amounts.to_units(self.settings.costs.price_rpc(call.method, params.get("data")).amount)
         payload = {"partner": self.partner.name, "data": params.get("data"), "units": units}
         if key is not None:
             payload["key"] = f"{self.partner.name}/{key}"  # partners' keys don't collide
--- a/rushweir/lab/scale/pure_costs.py
+++ b/rushweir/lab/scale/pure_costs.py
@@ -7,15 +7,17 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from rushweir.costs.decisions import CostRules, Counts, Rule, Term
+from rushweir.costs.decisions import CostRules, Rule, Term, TermKind
 from rushweir.lab.scale.pure_measure import child, cpu, traced
 from rushweir.lab.scale.pure_settings import FEW, settings_text
 from rushweir.lab.scale.samples import Role, Sample
 
 BODY = {"trip": {"from": "Keleti", "to": "Ferihegy", "stops": ["a", "b", "c"]}, "people": 3, "note": "x" * 300}
 TERMS = (
-    Term(Counts.SIZE, (), 100), Term(Counts.ENTRIES, ("trip", "stops"), 500), Term(Counts.VALUE, ("people",), 250),
-)  # fmt: skip
+    Term(TermKind.SIZE, (), 100),
+    Term(TermKind.ENTRIES, ("trip", "stops"), 500),
+    Term(TermKind.VALUE, ("people",), 250),
+)
 PRICES = 1_000  # in a block that is timed
 COST = 'cost "{name}" {{\n    base 1.5\n    per-kilobyte 0.1\n}}\n'
 
@@ -51,9 +53,9 @@
 
     def priced() -> None:
         for method in asked:
-            rules.rpc(method, BODY)
+            rules.price_rpc(method, BODY)
 
-    if any(rules.rpc(m, BODY).rule is rules.default for m in asked):
+    if any(rules.price_rpc(m, BODY).rule is rules.default for m in asked):
         raise RuntimeError("a route was not found")
     yield Sample(role, "price_cpu", "us", by, size, cpu(priced) / PRICES * 1e6, "core")
     told = read_of(known)
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -153,10 +153,10 @@
     config = load_text(PRICES, "x.conf", tmp_path)
     rules = config.costs()
     body = {"trip": {"stops": [1, 2], "bags": [1]}, "people": 2}
-    assert rules.rpc("booking", body).amount == 1000 + 4 + 1000 + 250 + 500
-    assert rules.rpc("booking", {}).amount == 1500 and rules.rpc("look", None).amount == 500
-    assert rules.rpc("booking", {"trip": {"stops": [0] * 1000}}).amount == 20_000
-    assert rules.rpc("fleet.status", None).rule.where == "x.conf:34"
+    assert rules.price_rpc("booking", body).amount == 1000 + 4 + 1000 + 250 + 500
+    assert rules.price_rpc("booking", {}).amount == 1500 and rules.price_rpc("look", None).amount == 500
+    assert rules.price_rpc("booking", {"trip": {"stops": [0] * 1000}}).amount == 20_000
+    assert rules.price_rpc("fleet.status", None).rule.location == "x.conf:34"
     again = load_text(show(config.effective()), "again", tmp_path)
     assert again.file == config.file
     assert load_text(BASE, "x", tmp_path).costs() is None
--- a/tests/costs/test_prices.py
+++ b/tests/costs/test_prices.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from rushweir.costs import amounts
-from rushweir.costs.decisions import CostRules, Counts, Rule, Term, field, price
-from rushweir.costs.routes import MOST_SEGMENTS, RouteError, Routes, http_route, pattern, rpc_route
+from rushweir.costs.decisions import CostRules, Rule, Term, TermKind, parse_field, price
+from rushweir.costs.routes import MAX_SEGMENTS, RouteError, Routes, http_route, parse_pattern, rpc_route
 
 # --- amounts ----------------------------------------------------------------------------------------
 
@@ -19,8 +19,8 @@
 @given(st.decimals(0, 999_999_999, places=3))
 def test_amounts_are_exact(value: Decimal):
     assert amounts.parse(str(value)) == int(value * 1000)
-    assert amounts.parse(amounts.text(int(value * 1000))) == int(value * 1000)
-    assert abs(amounts.units(int(value * 1000)) - float(value)) <= float(value) * 2**-52
+    assert amounts.parse(amounts.to_text(int(value * 1000))) == int(value * 1000)
+    assert abs(amounts.to_units(int(value * 1000)) - float(value)) <= float(value) * 2**-52
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.0005", "1e3", "1,5", ".5", "1.", "9999999999", "NaN"])
@@ -36,7 +36,7 @@
      (None, None), ([1], None)],
 )  # fmt: skip
 def test_the_cost_in_an_answer(value, expected):
-    assert amounts.truth(value) == expected
+    assert amounts.actual_cost(value) == expected
 
 
 # --- routes -----------------------------------------------------------------------------------------
@@ -70,11 +70,11 @@
 @pytest.mark.parametrize(
     "text",
     ["", "a.{b", "a.**.c", "get /x", "GET x", "a b", "GET /a/*/b", "a.*", "GET /{1}", "GET /a{b}",
-     "x" + ".x" * MOST_SEGMENTS],
+     "x" + ".x" * MAX_SEGMENTS],
 )  # fmt: skip
 def test_what_is_no_pattern(text):
     with pytest.raises(RouteError):
-        pattern(text)
+        parse_pattern(text)
 
 
 def test_a_route_stands_once():
@@ -92,7 +92,7 @@
 
 def matches(text: str, route: tuple[str, ...]) -> tuple | None:
     """The plain way: compare segment by segment; how exact the match is, as a sort key."""
-    want, key = pattern(text), []
+    want, key = parse_pattern(text), []
     for k, s in enumerate(want):
         if s == "**":
             return (*key, 2)
@@ -112,8 +112,8 @@
 # --- prices -----------------------------------------------------------------------------------------
 
 RULE = Rule("booking", 1000, (
-    Term(Counts.SIZE, (), 100), Term(Counts.ENTRIES, field("trip.stops"), 500), Term(Counts.VALUE, ("people",), 250),
-    Term(Counts.THERE, ("return",), 2000),
+    Term(TermKind.SIZE, (), 100), Term(TermKind.ENTRIES, parse_field("trip.stops"), 500),
+    Term(TermKind.VALUE, ("people",), 250), Term(TermKind.PRESENT, ("return",), 2000),
 ), 1200, 20_000)  # fmt: skip
 
 
@@ -145,7 +145,7 @@
 
 
 def test_numbers_in_a_body_are_bounded():
-    plain = Rule("x", 0, (Term(Counts.VALUE, ("n",), 1000),))
+    plain = Rule("x", 0, (Term(TermKind.VALUE, ("n",), 1000),))
     assert price(plain, {"n": 10**18}).amount == price(plain, {"n": 1e300}).amount == 10**6 * 1000
 
 
@@ -163,12 +163,15 @@
     if "inf" in repr(body):
         return
     found = price(RULE, body)
-    assert RULE.least <= found.amount <= RULE.most
+    assert RULE.minimum <= found.amount <= RULE.maximum
     whole = RULE.base + sum(added for _, _, added in found.parts)
-    assert found.amount == min(RULE.most, max(RULE.least, whole))
+    assert found.amount == min(RULE.maximum, max(RULE.minimum, whole))
 
 
 def test_the_default_stands_for_routes_without_a_rule():
     rules = CostRules(Rule("default", 700), [RULE, Rule("POST /rides/{id}", 900)])
-    assert rules.rpc("look", {}).amount == 700 and rules.rpc("booking", {}).rule is RULE
-    assert rules.http("POST", "/rides/1", None).amount == 900 and rules.http("GET", "/rides/1", None).amount == 700
+    assert rules.price_rpc("look", {}).amount == 700 and rules.price_rpc("booking", {}).rule is RULE
+    assert (
+        rules.price_http("POST", "/rides/1", None).amount == 900
+        and rules.price_http("GET", "/rides/1", None).amount == 700
+    )
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -148,8 +148,8 @@
     rules = g.core.setup.front.costs
     g.step(Change(("cost", "x.{z}"), b"base 3\n"), drop("cost", "x.{y}"), Change(("cost", "q"), b"least 4\n"))
     assert g.core.setup.front.costs is rules and not [e for e in g.events if isinstance(e, i.Settings)]
-    assert [rules.rpc(m, None).amount for m in ("x.1", "q", "other")] == [3000, 4000, 1000]
-    assert rules.rpc("q", None).rule.where == "control:1"
+    assert [rules.price_rpc(m, None).amount for m in ("x.1", "q", "other")] == [3000, 4000, 1000]
+    assert rules.price_rpc("q", None).rule.location == "control:1"
     g.step(drop("cost", "q"), drop("cost", "x.{z}"))
     assert g.core.setup.front.costs is None  # as of a file without any
 
--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -69,7 +69,7 @@
     while todo:
         node = todo.pop()
         found += 1
-        todo += [*node.texts.values(), *([node.one] if node.one else [])]
+        todo += [*node.static.values(), *([node.one] if node.one else [])]
     return found
 
 
