--- a/rushweir/costs/__init__.py
+++ b/rushweir/costs/__init__.py
@@ -1,1 +1,1 @@
-"""What requests cost: priced by rules beforehand, settled by the truth afterwards, in whole thousandths of a unit."""
+"""Request costs: estimated from rules in advance, settled by the actual cost afterwards, in thousandths of a unit."""
--- a/rushweir/costs/amounts.py
+++ b/rushweir/costs/amounts.py
@@ -1,8 +1,8 @@
-"""Amounts: whole thousandths of a unit, from parsing to the ledger. No I/O.
+"""Amounts: integer thousandths of a unit, from parsing to the ledger. No I/O.
 
-Sums of floats depend on their order, and two ledgers that hold the same entries would differ; whole numbers do not.
-Only the decision module counts in floats: ``to_units`` is where an amount crosses over, and its rounding is that of
-one division, at most 2**-53 of the amount.
+Sums of floats depend on their order, so two ledgers with the same entries could differ; sums of integers do not.
+Only the policy calculates in floats: ``to_units`` converts an amount, and its rounding error is that of one division,
+at most 2**-53 of the amount.
 """
 
 from __future__ import annotations
@@ -10,16 +10,18 @@
 import re
 
 THOUSANDTHS_PER_UNIT = 1_000
-MAX_AMOUNT = 10**12  # of one request or answer: a thousand million units; what is more is a fault of its sender
+MAX_AMOUNT = 10**12  # thousandths, of one request or answer: 10**9 units; more is a fault of the sender
 
 
 class Amount(int):
-    """Thousandths of a unit that stand in settings; a type of its own so that they are written as they were read."""
+    """Thousandths of a unit in the settings; a separate type, so that they are written as they were read."""
 
 
 def parse(text: str) -> int:
-    """An amount of ``2``, ``0.25``, ``1.005``. Raises ValueError; more than three decimals are an error, since a
-    rounded price is not the price that was written."""
+    """The amount in thousandths of text such as ``2``, ``0.25`` or ``1.005``.
+
+    Raises ValueError, also for more than three decimals, since a rounded price would not be the price that was set.
+    """
     found = re.fullmatch(r"(\d{1,9})(?:\.(\d{1,3}))?", text)
     if found is None:
         raise ValueError("an amount such as 2 or 0.25, with three decimals at most")
@@ -27,23 +29,25 @@
 
 
 def to_text(amount: int) -> str:
-    """An amount as ``parse`` takes it."""
+    """An amount as text that ``parse`` accepts, with a sign if it is negative."""
     whole, rest = divmod(abs(amount), THOUSANDTHS_PER_UNIT)
     sign = "-" if amount < 0 else ""
     return f"{sign}{whole}" + (f".{rest:03d}".rstrip("0") if rest else "")
 
 
 def to_units(amount: int) -> float:
-    """An amount for the module."""
+    """An amount in units, as the policy takes it."""
     return amount / THOUSANDTHS_PER_UNIT
 
 
 def actual_cost(value: object) -> int | None:
-    """The amount that an answer names, or None where it names none that can be: no number, not finite, negative,
-    or more than ``MAX_AMOUNT``. Rounded to the nearest thousandth, halves up; of a float that is off by half a
-    thousandth and its own 2**-53 at most."""
+    """The amount in thousandths that a node reports in its answer.
+
+    None if the value is not a number, not finite, negative, or more than ``MAX_AMOUNT``. Floats are rounded to the
+    nearest thousandth, halves up; the error is at most half a thousandth and the float's own 2**-53.
+    """
     if type(value) is int:
         return value * THOUSANDTHS_PER_UNIT if 0 <= value <= MAX_AMOUNT // THOUSANDTHS_PER_UNIT else None
-    if type(value) is float and 0 <= value <= MAX_AMOUNT / THOUSANDTHS_PER_UNIT:  # not for NaN either
+    if type(value) is float and 0 <= value <= MAX_AMOUNT / THOUSANDTHS_PER_UNIT:  # false for NaN too
         return int(value * THOUSANDTHS_PER_UNIT + 0.5)
     return None
--- a/rushweir/costs/explain.py
+++ b/rushweir/costs/explain.py
@@ -1,4 +1,4 @@
-"""Which rule priced what, for people. No I/O."""
+"""Explains prices: which rule and terms priced a request. No I/O."""
 
 from __future__ import annotations
 
@@ -18,19 +18,22 @@
     found = []
     for call in message.calls if isinstance(message, rpc.Batch) else (message,):
         if not isinstance(call, rpc.Call):
-            raise ValueError(str(call) if isinstance(call, rpc.RpcError) else "an answer, no request")
+            raise ValueError(str(call) if isinstance(call, rpc.RpcError) else "an answer, not a request")
         data = call.params.get("data") if isinstance(call.params, dict) else None
         price = rules.price_rpc(call.method, data)
         found.append(
             {
-                "method": call.method, "cost": amounts.to_text(price.amount), "rule": price.rule.name,
-                "where": price.rule.location, "parts": [
+                "method": call.method,
+                "cost": amounts.to_text(price.amount),
+                "rule": price.rule.name,
+                "where": price.rule.location,
+                "parts": [
                     {"term": "base", "counted": "1", "adds": amounts.to_text(price.rule.base)},
                     *(
-                        {"term": t, "counted": amounts.to_text(n), "adds": amounts.to_text(a)}
-                        for t, n, a in price.parts
+                        {"term": term, "counted": amounts.to_text(count), "adds": amounts.to_text(added)}
+                        for term, count, added in price.additions
                     ),
                 ],
             }
-        )  # fmt: skip
+        )
     return found
--- a/tests/costs/test_prices.py
+++ b/tests/costs/test_prices.py
@@ -130,7 +130,7 @@
     assert price(plain, {"return": {}}).amount == 2000
     assert price(plain, {"return": False}).amount == price(plain, {"return": None}).amount == 0
     found = price(plain, {"people": 2, "return": True})
-    assert found.parts == (("times people", 2000, 500), ("present return", 1000, 2000))
+    assert found.additions == (("times people", 2000, 500), ("present return", 1000, 2000))
     assert price(Rule("x", 0, RULE.terms[:1]), {"a": "x" * 2040}).amount == 200
     assert cost({"trip": {"stops": list(range(1000))}}) == 20_000  # the most
 
@@ -164,7 +164,7 @@
         return
     found = price(RULE, body)
     assert RULE.minimum <= found.amount <= RULE.maximum
-    whole = RULE.base + sum(added for _, _, added in found.parts)
+    whole = RULE.base + sum(added for _, _, added in found.additions)
     assert found.amount == min(RULE.maximum, max(RULE.minimum, whole))
 
 
