--- a/rushweir/costs/amounts.py
+++ b/rushweir/costs/amounts.py
@@ -30,9 +30,9 @@
 
 def to_text(amount: int) -> str:
     """An amount as text that ``parse`` accepts, with a sign if it is negative."""
-    whole, rest = divmod(abs(amount), THOUSANDTHS_PER_UNIT)
+    units, thousandths = divmod(abs(amount), THOUSANDTHS_PER_UNIT)
     sign = "-" if amount < 0 else ""
-    return f"{sign}{whole}" + (f".{rest:03d}".rstrip("0") if rest else "")
+    return f"{sign}{units}" + (f".{thousandths:03d}".rstrip("0") if thousandths else "")
 
 
 def to_units(amount: int) -> float:
--- a/rushweir/costs/ledger.py
+++ b/rushweir/costs/ledger.py
@@ -1,18 +1,19 @@
-"""The ledger of costs: each try opens an entry, and closes it exactly once. No I/O, no clock.
+"""The ledger of costs: each attempt opens an entry, which is closed exactly once. No I/O, no clock.
 
-    open --answer--------> settled         at the truth, or at the guess where the answer names none
-      |---never ran------> released        nothing is charged
-      +---no answer------> unsettled --late answer, or the node's account--> settled
-                                     --after ``close_ms``------------------> closed, at the guess
+    open --answer-------> settled      at the actual cost, or at the estimate if the answer names none
+      |---never ran-----> released     nothing is charged
+      +---no answer-----> unsettled --late answer, or the node's usage report--> settled
+                                    --after ``close_after_ms``----------------> closed, at the estimate
 
-What is charged to a partner at any time: the truth of what is settled, and the guess of what is open, unsettled
-or closed. Every step is a function of the entry's state; a step that the state does not have (a second answer, an
-answer to another try, an account of what was settled) changes nothing and is counted as a stray.
+A partner is charged at any time the actual cost of settled entries, and the estimate of open, unsettled and closed
+ones. Each transition is a function of the entry's state. An event that has no transition from there (a second answer,
+an answer to another attempt, a usage report of a settled entry) changes nothing and is counted as unmatched.
 
-A keyed request is done once, however often it is sent: its first settled try is charged, and the others are
-released when they come back, whatever cost they name; a different one is counted as disputed.
+A keyed request, one with an idempotency key, takes effect once, however often it is sent: its first settled attempt
+is charged, and the others are released when their answers come, whatever cost they name; a different cost is counted
+as disputed.
 
-Amounts are whole thousandths of a unit; entries that are open or unsettled are bounded by ``most``.
+Amounts are integer thousandths of a unit. Open and unsettled entries are bounded by ``max_entries``.
 """
 
 from __future__ import annotations
@@ -22,230 +23,276 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+# States of an entry; the last three are final.
 OPEN, UNSETTLED = "open", "unsettled"
 SETTLED, RELEASED, CLOSED = "settled", "released", "closed"
 
+# Events.
 ANSWERED, NEVER_RAN, LOST, TIMED_OUT = "answered", "never_ran", "lost", "timed_out"
 
-# The whole of the machine: what happens to an entry in which state.
-STEPS = {
+# The complete state machine: (state, event) to the next state.
+TRANSITIONS = {
     (OPEN, ANSWERED): SETTLED,
     (OPEN, NEVER_RAN): RELEASED,
     (OPEN, LOST): UNSETTLED,
-    (UNSETTLED, ANSWERED): SETTLED,  # late, or from the node's account
-    (UNSETTLED, NEVER_RAN): RELEASED,  # the account says that the node never saw it
+    (UNSETTLED, ANSWERED): SETTLED,  # a late answer, or the node's usage report
+    (UNSETTLED, NEVER_RAN): RELEASED,  # by its usage report, the node never received it
     (UNSETTLED, TIMED_OUT): CLOSED,
 }
 
-Key = tuple[str, int]  # request and number of the try
+EntryKey = tuple[str, int]  # request id and attempt number
 
 
 class LedgerFull(Exception):
-    """No more entries can be open at once."""
+    """The maximum number of entries is open."""
 
 
 @dataclass(slots=True)
 class Entry:
-    """One try whose cost is not final yet."""
+    """One attempt whose cost is not final yet."""
 
-    rid: str
-    number: int
+    request_id: str
+    attempt: int
     partner: str
     route: str
-    guess: int
-    at: float  # when it was opened; once unsettled, when that was
+    estimate: int
+    since: float  # ms; when it was opened, or became unsettled
     keyed: bool = False
     state: str = OPEN
 
 
 @dataclass(slots=True)
 class Account:
-    """What a partner is charged, by how sure it is. Thousandths of a unit; counts of tries beside."""
+    """What a partner is charged, by the state of the entries, in thousandths of a unit; and its attempts by state."""
 
     settled: int = 0
     open: int = 0
     unsettled: int = 0
     closed: int = 0
-    tries: Counter[str] = field(default_factory=Counter)
+    attempts: Counter[str] = field(default_factory=Counter)
 
     @property
     def charged(self) -> int:
+        """The total charge, in thousandths of a unit."""
         return self.settled + self.open + self.unsettled + self.closed
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """What a call changed: the entry's new state, and the amount that its partner is charged in place of the guess
-    from now on. As plain values it is what the log keeps."""
+class Transition:
+    """What an event changed: the entry's new state, and the amount charged from then on in place of the estimate.
+
+    The log stores it as plain values.
+    """
 
     event: str
-    rid: str
-    number: int
+    request_id: str
+    attempt: int
     state: str
     amount: int
 
 
-class Costs:
+class CostLedger:
     """All entries of one ingress that are not final, and the partners' accounts."""
 
-    def __init__(self, close_ms: float, most: int = 100_000) -> None:
-        """``close_ms``: how long an unsettled entry waits for a late answer or the node's account."""
-        self.close_ms, self.most = close_ms, most
-        self.entries: dict[Key, Entry] = {}
-        self.waiting: OrderedDict[Key, None] = OrderedDict()  # unsettled, oldest first
-        self.done_keyed: dict[str, int] = {}  # keyed requests with tries out: the cost that was settled
-        self.tries_of: Counter[str] = Counter()  # of keyed requests, tries that are not final
+    def __init__(self, close_after_ms: float, max_entries: int = 100_000) -> None:
+        """``close_after_ms``: how long an unsettled entry waits for a late answer or the node's usage report."""
+        self.close_after_ms = close_after_ms
+        self.max_entries = max_entries
+        self.entries: dict[EntryKey, Entry] = {}
+        self.unsettled_keys: OrderedDict[EntryKey, None] = OrderedDict()  # oldest first
+        self.settled_keyed: dict[str, int] = {}  # settled cost of keyed requests that have attempts outstanding
+        self.keyed_attempts: Counter[str] = Counter()  # attempts of keyed requests that are not final
         self.accounts: dict[str, Account] = {}
         self.counts: Counter[str] = Counter()
 
-    # --- steps -----------------------------------------------------------------------------------
+    # --- transitions -----------------------------------------------------------------------------
 
     def open(
-        self, now: float, rid: str, number: int, partner: str, route: str, guess: int, keyed: bool = False
+        self,
+        now: float,
+        request_id: str,
+        attempt: int,
+        partner: str,
+        route: str,
+        estimate: int,
+        keyed: bool = False,
     ) -> Entry:
-        """A try is sent. Raises LedgerFull; ValueError where the try is open already."""
-        key = (rid, number)
+        """Open the entry of an attempt that is sent.
+
+        Raises LedgerFull; ValueError if the entry is open already or the estimate is negative.
+        """
+        key = (request_id, attempt)
         if key in self.entries:
-            raise ValueError(f"request {rid}, try {number}: open already")
-        if guess < 0:
-            raise ValueError(f"request {rid}: a guess below nothing")
-        if len(self.entries) >= self.most:
-            raise LedgerFull(f"{self.most} entries are open")
-        entry = self.entries[key] = Entry(rid, number, partner, route, guess, now, keyed)
+            raise ValueError(f"request {request_id}, attempt {attempt}: open already")
+        if estimate < 0:
+            raise ValueError(f"request {request_id}: the estimate is negative")
+        if len(self.entries) >= self.max_entries:
+            raise LedgerFull(f"{self.max_entries} entries are open")
+        entry = self.entries[key] = Entry(request_id, attempt, partner, route, estimate, now, keyed)
         if keyed:
-            self.tries_of[rid] += 1
+            self.keyed_attempts[request_id] += 1
         account = self.account(partner)
-        account.open += guess
-        account.tries[OPEN] += 1
+        account.open += estimate
+        account.attempts[OPEN] += 1
         return entry
 
-    def answered(self, now: float, rid: str, number: int, truth: int | None) -> Step | None:
-        """An answer came, at once, late, or as the node's account; ``truth`` is None where it names no cost."""
-        entry = self.entries.get((rid, number))
+    def record_answer(self, now: float, request_id: str, attempt: int, actual: int | None) -> Transition | None:
+        """Settle an attempt by its answer, in time or late, or by the node's usage report.
+
+        ``actual``: the cost that the node reports, None if it names none. Returns None if no entry matches.
+        """
+        entry = self.entries.get((request_id, attempt))
         if entry is None:
-            return self._stray("answer")
-        if truth is None:
+            return self._count_unmatched("answer")
+        if actual is None:
             self.counts["unnamed"] += 1
-            truth = entry.guess
+            actual = entry.estimate
         if entry.keyed:
-            first = self.done_keyed.get(rid)
+            first = self.settled_keyed.get(request_id)
             if first is not None:
-                self.counts["disputed"] += truth not in (first, 0)
-                return self._final(entry, ANSWERED, RELEASED, 0)
-            self.done_keyed[rid] = truth
+                self.counts["disputed"] += actual not in (first, 0)
+                return self._finish(entry, ANSWERED, RELEASED, 0)
+            self.settled_keyed[request_id] = actual
         self.counts["late"] += entry.state is UNSETTLED
-        return self._final(entry, ANSWERED, STEPS[entry.state, ANSWERED], truth)
+        return self._finish(entry, ANSWERED, TRANSITIONS[entry.state, ANSWERED], actual)
+
+    def record_never_ran(self, now: float, request_id: str, attempt: int) -> Transition | None:
+        """Release an attempt that did not run, as its outcome or the node's usage report proves.
 
-    def never_ran(self, now: float, rid: str, number: int) -> Step | None:
-        """The try was never worked on: proved by how it ended, or by the node's account."""
-        entry = self.entries.get((rid, number))
+        Returns None if no entry matches.
+        """
+        entry = self.entries.get((request_id, attempt))
         if entry is None:
-            return self._stray("release")
-        return self._final(entry, NEVER_RAN, STEPS[entry.state, NEVER_RAN], 0)
-
-    def lost(self, now: float, rid: str, number: int) -> Step | None:
-        """No answer came, and it may have run."""
-        entry = self.entries.get((rid, number))
-        if entry is None or (entry.state, LOST) not in STEPS:
-            return self._stray("loss")
-        entry.state, entry.at = UNSETTLED, now
-        self.waiting[rid, number] = None
+            return self._count_unmatched("release")
+        return self._finish(entry, NEVER_RAN, TRANSITIONS[entry.state, NEVER_RAN], 0)
+
+    def record_lost(self, now: float, request_id: str, attempt: int) -> Transition | None:
+        """Mark an attempt unsettled that got no answer and may have run; returns None if no open entry matches."""
+        entry = self.entries.get((request_id, attempt))
+        if entry is None or (entry.state, LOST) not in TRANSITIONS:
+            return self._count_unmatched("loss")
+        entry.state, entry.since = UNSETTLED, now
+        self.unsettled_keys[request_id, attempt] = None
         account = self.account(entry.partner)
-        account.open -= entry.guess
-        account.unsettled += entry.guess
-        account.tries[UNSETTLED] += 1
-        return Step(LOST, rid, number, UNSETTLED, entry.guess)
-
-    def expire(self, now: float) -> list[Step]:
-        """Close what waited too long, at its guess."""
-        out = []
-        while self.waiting:
-            key = next(iter(self.waiting))
+        account.open -= entry.estimate
+        account.unsettled += entry.estimate
+        account.attempts[UNSETTLED] += 1
+        return Transition(LOST, request_id, attempt, UNSETTLED, entry.estimate)
+
+    def expire(self, now: float) -> list[Transition]:
+        """Close entries that were unsettled for ``close_after_ms``, at their estimates."""
+        transitions = []
+        while self.unsettled_keys:
+            key = next(iter(self.unsettled_keys))
             entry = self.entries[key]
-            if entry.at + self.close_ms > now:
+            if entry.since + self.close_after_ms > now:
                 break
-            out.append(self._final(entry, TIMED_OUT, CLOSED, entry.guess))
-        return out
+            transitions.append(self._finish(entry, TIMED_OUT, CLOSED, entry.estimate))
+        return transitions
 
-    def _final(self, entry: Entry, event: str, state: str, amount: int) -> Step:
-        key = (entry.rid, entry.number)
+    def _finish(self, entry: Entry, event: str, state: str, amount: int) -> Transition:
+        """Remove an entry that is final, and charge the amount in place of its estimate."""
+        key = (entry.request_id, entry.attempt)
         account = self.account(entry.partner)
         if entry.state is OPEN:
-            account.open -= entry.guess
+            account.open -= entry.estimate
         else:
-            account.unsettled -= entry.guess
-            del self.waiting[key]
+            account.unsettled -= entry.estimate
+            del self.unsettled_keys[key]
         if state == CLOSED:
             account.closed += amount
         else:
             account.settled += amount
-        account.tries[state] += 1
+        account.attempts[state] += 1
         del self.entries[key]
         if entry.keyed:
-            self.tries_of[entry.rid] -= 1
-            if not self.tries_of[entry.rid]:
-                del self.tries_of[entry.rid]
-                self.done_keyed.pop(entry.rid, None)
-        return Step(event, entry.rid, entry.number, state, amount)
+            self.keyed_attempts[entry.request_id] -= 1
+            if not self.keyed_attempts[entry.request_id]:
+                del self.keyed_attempts[entry.request_id]
+                self.settled_keyed.pop(entry.request_id, None)
+        return Transition(event, entry.request_id, entry.attempt, state, amount)
 
-    def _stray(self, what: str) -> None:
-        self.counts[f"stray_{what}"] += 1
+    def _count_unmatched(self, event: str) -> None:
+        self.counts[f"stray_{event}"] += 1
 
-    # --- to be seen, and kept --------------------------------------------------------------------
+    # --- queries, dump and restore ---------------------------------------------------------------
 
     def account(self, partner: str) -> Account:
+        """A partner's account, created if it has none."""
         found = self.accounts.get(partner)
         if found is None:
             found = self.accounts[partner] = Account()
         return found
 
-    def unsettled(self) -> Iterator[Entry]:
-        """What a node could be asked about, oldest first."""
-        return (self.entries[k] for k in self.waiting)
+    def unsettled_entries(self) -> Iterator[Entry]:
+        """Entries for which a node could be asked for a usage report, oldest first."""
+        return (self.entries[key] for key in self.unsettled_keys)
 
     def dump(self) -> dict[str, Any]:
-        """All of it, as plain values."""
+        """The complete ledger as plain values."""
         return {
             "entries": [
-                [e.rid, e.number, e.partner, e.route, e.guess, e.at, e.keyed, e.state]
-                for e in sorted(self.entries.values(), key=lambda e: (e.at, e.rid, e.number))
+                [
+                    entry.request_id,
+                    entry.attempt,
+                    entry.partner,
+                    entry.route,
+                    entry.estimate,
+                    entry.since,
+                    entry.keyed,
+                    entry.state,
+                ]
+                for entry in sorted(
+                    self.entries.values(), key=lambda entry: (entry.since, entry.request_id, entry.attempt)
+                )
             ],
-            "done_keyed": self.done_keyed,
-            "accounts": {p: [a.settled, a.closed, dict(a.tries)] for p, a in self.accounts.items()},
+            "done_keyed": self.settled_keyed,
+            "accounts": {
+                partner: [account.settled, account.closed, dict(account.attempts)]
+                for partner, account in self.accounts.items()
+            },
         }
 
-    def restore(self, kept: dict[str, Any]) -> None:
-        """Take over what ``dump`` gave; this ledger must be empty."""
+    def restore(self, stored: dict[str, Any]) -> None:
+        """Load what ``dump`` returned. Raises ValueError if this ledger is not empty."""
         if self.entries or self.accounts:
-            raise ValueError("a ledger that holds something can't be restored")
-        for partner, (settled, closed, tries) in kept["accounts"].items():
-            self.accounts[partner] = Account(settled=settled, closed=closed, tries=Counter(tries))
-        for rid, number, partner, route, guess, at, keyed, state in kept["entries"]:
+            raise ValueError("only an empty ledger can be restored")
+        for partner, (settled, closed, attempts) in stored["accounts"].items():
+            self.accounts[partner] = Account(settled=settled, closed=closed, attempts=Counter(attempts))
+        for request_id, attempt, partner, route, estimate, since, keyed, state in stored["entries"]:
             state = OPEN if state == OPEN else UNSETTLED
-            self.entries[rid, number] = Entry(rid, number, partner, route, guess, at, keyed, state)
+            self.entries[request_id, attempt] = Entry(
+                request_id, attempt, partner, route, estimate, since, keyed, state
+            )
             account = self.account(partner)
             if state is OPEN:
-                account.open += guess
+                account.open += estimate
             else:
-                account.unsettled += guess
-                self.waiting[rid, number] = None
+                account.unsettled += estimate
+                self.unsettled_keys[request_id, attempt] = None
             if keyed:
-                self.tries_of[rid] += 1
-        self.done_keyed = dict(kept["done_keyed"])
+                self.keyed_attempts[request_id] += 1
+        self.settled_keyed = dict(stored["done_keyed"])
 
-    def apply(self, step: Step, now: float) -> None:
-        """Do a step again that the log kept. One that was done already changes nothing."""
-        entry = self.entries.get((step.rid, step.number))
+    def apply(self, transition: Transition, now: float) -> None:
+        """Replay a transition from the log. One that was applied already changes nothing."""
+        entry = self.entries.get((transition.request_id, transition.attempt))
         if entry is None:
             return
-        if step.state == UNSETTLED:
-            self.lost(now, step.rid, step.number)
+        if transition.state == UNSETTLED:
+            self.record_lost(now, transition.request_id, transition.attempt)
         else:
-            if entry.keyed and step.state == SETTLED:
-                self.done_keyed[step.rid] = step.amount
-            self._final(entry, step.event, step.state, step.amount)
-
-    def orphans(self, now: float) -> list[Step]:
-        """After a restart: tries that were open when the process ended may have run, and nobody waits for them."""
-        return [s for key in [k for k, e in self.entries.items() if e.state is OPEN]
-                if (s := self.lost(now, *key)) is not None]  # fmt: skip
+            if entry.keyed and transition.state == SETTLED:
+                self.settled_keyed[transition.request_id] = transition.amount
+            self._finish(entry, transition.event, transition.state, transition.amount)
+
+    def mark_orphans_lost(self, now: float) -> list[Transition]:
+        """After a restart, mark attempts unsettled that were open when the process ended.
+
+        They may have run, and no request waits for their answers any more.
+        """
+        return [
+            transition
+            for key in [open_key for open_key, entry in self.entries.items() if entry.state is OPEN]
+            if (transition := self.record_lost(now, *key)) is not None
+        ]
--- a/rushweir/costs/store.py
+++ b/rushweir/costs/store.py
@@ -1,12 +1,11 @@
-"""The ledger's files: a log that is appended to, and snapshots that let it begin anew.
+"""The ledger's files: an append-only log, and snapshots that allow a new log to begin.
 
-    costs.snap          generation, and the whole ledger as of its log's begin; replaced as one (rename)
-    costs-GEN.log       what happened since
+    costs.snap          generation, and the complete ledger at the start of that generation's log; replaced atomically
+    costs-GEN.log       the records since then
 
-A snapshot names its generation, and only the log of that generation is read with it: a crash between the two
-leaves either the old pair or the new snapshot with an empty log, never steps that are done twice. What a crash may
-lose is what was not synced yet, ``SYNC_S`` at most: for the time of a power cut, not of a kill, which loses nothing
-that was written.
+A snapshot names its generation, and only the log of that generation is replayed on it: a crash between the two writes
+leaves either the old pair or the new snapshot with an empty log, and no transition is applied twice. A power cut may
+lose what was not synced yet, ``SYNC_INTERVAL_S`` at most; a kill loses nothing that was written.
 """
 
 from __future__ import annotations
@@ -19,47 +18,49 @@
 import orjson
 
 from rushweir.costs import log
-from rushweir.costs.ledger import Costs, Entry, Step
+from rushweir.costs.ledger import CostLedger, Entry, Transition
 from rushweir.files import replace_file
 
 FORMAT = 1
-SYNC_S = 0.1
-COMPACT_BYTES = 16 * 1024 * 1024  # of a log, before it begins anew
+SYNC_INTERVAL_S = 0.1
+COMPACT_BYTES = 16 * 1024 * 1024  # log size from which compaction is due
 
 
 class StoreError(Exception):
-    """Files that can't be taken; the text names the file and what is wrong."""
+    """Invalid files; the text names the file and what is wrong."""
 
 
 class Store:
-    """Keeps one ledger in a folder. Writes are buffered: call ``flush`` after each turn, ``sync`` now and then."""
+    """Stores one ledger in a folder. Writes are buffered: call ``flush`` after each turn, ``sync`` periodically."""
 
-    def __init__(self, folder: Path, costs: Costs) -> None:
-        """Read what is there into an empty ledger, cutting a torn end. Raises StoreError, OSError."""
-        self.folder, self.costs = folder, costs
+    def __init__(self, folder: Path, ledger: CostLedger) -> None:
+        """Load the files into an empty ledger, truncating a torn end. Raises StoreError, OSError."""
+        self.folder = folder
+        self.ledger = ledger
         folder.mkdir(parents=True, exist_ok=True)
-        self.generation = self._snapshot()
-        self.path = self._log(self.generation)
+        self.generation = self._load_snapshot()
+        self.path = self._log_path(self.generation)
         data = self.path.read_bytes() if self.path.exists() else b""
         try:
-            end = log.good_end(data)
-            self.replayed = log.replay(costs, data[:end])
+            end = log.valid_end(data)
+            self.replayed_records = log.replay(ledger, data[:end])
         except log.LogError as problem:
             raise StoreError(f"{self.path}: {problem}") from None
-        self.torn = len(data) - end
+        self.torn_bytes = len(data) - end
         self.file = open(self.path, "ab", buffering=1 << 16)  # noqa: SIM115 - closed in ``close``
-        if self.torn:
+        if self.torn_bytes:
             self.file.truncate(end)
             self.file.seek(0, os.SEEK_END)
         if not end:
             self.file.write(log.MAGIC)
         self.size = max(end, len(log.MAGIC))
-        self._drop_others()
+        self._delete_other_logs()
 
-    def _log(self, generation: int) -> Path:
+    def _log_path(self, generation: int) -> Path:
         return self.folder / f"costs-{generation}.log"
 
-    def _snapshot(self) -> int:
+    def _load_snapshot(self) -> int:
+        """Restore the ledger from the snapshot; returns its generation, 0 if there is none."""
         path = self.folder / "costs.snap"
         try:
             data = path.read_bytes()
@@ -67,16 +68,16 @@
             return 0
         try:
             head, body = data.split(b"\n", 1)
-            kept = orjson.loads(head)
-            if kept["format"] != FORMAT or kept["crc32"] != crc32(body):
+            header = orjson.loads(head)
+            if header["format"] != FORMAT or header["crc32"] != crc32(body):
                 raise ValueError("another format, or altered")
-            self.costs.restore(orjson.loads(body))
-            return int(kept["generation"])
+            self.ledger.restore(orjson.loads(body))
+            return int(header["generation"])
         except (ValueError, KeyError, TypeError) as problem:
-            # To begin with empty accounts would forget what partners used: somebody must look.
+            # Starting with empty accounts would lose what partners used: an operator must look at the file.
             raise StoreError(f"{path}: {problem}") from None
 
-    def _drop_others(self) -> None:
+    def _delete_other_logs(self) -> None:
         for path in self.folder.glob("costs-*.log"):
             if path != self.path:
                 with contextlib.suppress(OSError):
@@ -84,35 +85,38 @@
 
     # --- writing ---------------------------------------------------------------------------------
 
-    def opened(self, entry: Entry) -> None:
-        self._write(log.opened(entry))
+    def append_open(self, entry: Entry) -> None:
+        """Append the record of an entry that is opened."""
+        self._write(log.encode_open(entry))
 
-    def stepped(self, step: Step, now: float) -> None:
-        self._write(log.stepped(step, now))
+    def append_transition(self, transition: Transition, now: float) -> None:
+        """Append the record of a transition."""
+        self._write(log.encode_transition(transition, now))
 
     def _write(self, data: bytes) -> None:
         self.file.write(data)
         self.size += len(data)
 
     def flush(self) -> None:
-        """Hand what is buffered to the system: from then on a kill of this process loses nothing of it."""
+        """Write the buffer to the operating system: from then on, a kill of this process loses nothing of it."""
         self.file.flush()
 
     def sync(self) -> None:
-        """Have the disk take it; to be called beside the event loop."""
+        """Force what was written to disk. Blocks: call it outside of the event loop."""
         self.file.flush()
         os.fdatasync(self.file.fileno())
 
     @property
     def wants_compaction(self) -> bool:
+        """Whether the log is larger than ``COMPACT_BYTES``."""
         return self.size > COMPACT_BYTES
 
     def compact(self) -> None:
-        """Begin anew with a snapshot. Raises OSError where it can't be written; then all goes on as before."""
-        body = orjson.dumps(self.costs.dump())
-        new = self.generation + 1
-        head = orjson.dumps({"format": FORMAT, "generation": new, "crc32": crc32(body)})
-        file = open(self._log(new), "wb", buffering=1 << 16)  # noqa: SIM115 - kept, or closed below
+        """Write a snapshot and begin a new log. Raises OSError if it can't be written; the old pair stays in use."""
+        body = orjson.dumps(self.ledger.dump())
+        next_generation = self.generation + 1
+        head = orjson.dumps({"format": FORMAT, "generation": next_generation, "crc32": crc32(body)})
+        file = open(self._log_path(next_generation), "wb", buffering=1 << 16)  # noqa: SIM115 - kept, or closed below
         try:
             file.write(log.MAGIC)
             file.flush()
@@ -121,13 +125,17 @@
         except OSError:
             file.close()
             with contextlib.suppress(OSError):
-                self._log(new).unlink()
+                self._log_path(next_generation).unlink()
             raise
         self.file.close()
-        self.file, self.path, self.generation, self.size = file, self._log(new), new, len(log.MAGIC)
-        self._drop_others()
+        self.file = file
+        self.path = self._log_path(next_generation)
+        self.generation = next_generation
+        self.size = len(log.MAGIC)
+        self._delete_other_logs()
 
     def close(self) -> None:
+        """Sync and close the log."""
         with contextlib.suppress(OSError):
             self.sync()
         self.file.close()
--- a/tests/costs/test_prices.py
+++ b/tests/costs/test_prices.py
@@ -1,4 +1,4 @@
-"""Amounts, routes and prices: exact, bounded, and the same as the plain way of finding them."""
+"""Amounts, routes and prices: exact, bounded, and equal to those of a reference implementation."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 @given(st.decimals(0, 999_999_999, places=3))
-def test_amounts_are_exact(value: Decimal):
+def test_amounts_convert_exactly(value: Decimal):
     assert amounts.parse(str(value)) == int(value * 1000)
     assert amounts.parse(amounts.to_text(int(value * 1000))) == int(value * 1000)
     assert abs(amounts.to_units(int(value * 1000)) - float(value)) <= float(value) * 2**-52
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.0005", "1e3", "1,5", ".5", "1.", "9999999999", "NaN"])
-def test_what_is_no_amount(text):
+def test_invalid_amount_is_rejected(text):
     with pytest.raises(ValueError, match="amount"):
         amounts.parse(text)
 
@@ -35,25 +35,25 @@
      (math.inf, None), (10**300, None), (1e300, None), (10**9 + 1, None), (10**9, 10**12), (True, None), ("3", None),
      (None, None), ([1], None)],
 )  # fmt: skip
-def test_the_cost_in_an_answer(value, expected):
+def test_cost_in_an_answer_is_rounded_or_rejected(value, expected):
     assert amounts.actual_cost(value) == expected
 
 
 # --- routes -----------------------------------------------------------------------------------------
 
 
-def made(*patterns: str) -> Routes[str]:
+def routes_of(*patterns: str) -> Routes[str]:
     routes: Routes[str] = Routes()
-    for p in patterns:
-        routes.add(p, p)
+    for text in patterns:
+        routes.add(text, text)
     return routes
 
 
-def test_the_more_exact_route_wins_whatever_the_order():
+def test_most_specific_route_wins_in_any_order_of_rules():
     patterns = ["booking", "fleet.{what}", "fleet.**", "fleet.status", "GET /rides/{id}", "GET /rides/new",
                 "* /rides/**", "POST /rides/{id}/stops", "GET /{any}/new", "* /"]  # fmt: skip
     for order in (patterns, patterns[::-1]):
-        routes = made(*order)
+        routes = routes_of(*order)
         for route, expected in (
             (rpc_route("booking"), "booking"), (rpc_route("fleet.status"), "fleet.status"),
             (rpc_route("fleet.x"), "fleet.{what}"), (rpc_route("fleet.x.y"), "fleet.**"),
@@ -72,41 +72,44 @@
     ["", "a.{b", "a.**.c", "get /x", "GET x", "a b", "GET /a/*/b", "a.*", "GET /{1}", "GET /a{b}",
      "x" + ".x" * MAX_SEGMENTS],
 )  # fmt: skip
-def test_what_is_no_pattern(text):
+def test_invalid_pattern_is_rejected(text):
     with pytest.raises(RouteError):
         parse_pattern(text)
 
 
-def test_a_route_stands_once():
-    for twice in (("a.{x}", "a.{y}"), ("a", "a"), ("a.**", "a.**"), ("GET /{a}", "GET /{b}")):
+def test_pattern_added_twice_is_rejected():
+    for equal_patterns in (("a.{x}", "a.{y}"), ("a", "a"), ("a.**", "a.**"), ("GET /{a}", "GET /{b}")):
         with pytest.raises(RouteError, match="twice"):
-            made(*twice)
+            routes_of(*equal_patterns)
 
 
-segment = st.sampled_from(["a", "b", "{x}"])
+segments = st.sampled_from(["a", "b", "{x}"])
 patterns = st.lists(
-    st.tuples(st.lists(segment, min_size=1, max_size=4), st.booleans()).map(lambda t: ".".join(t[0] + ["**"] * t[1])),
-    max_size=25, unique_by=lambda p: p,
-)  # fmt: skip
+    st.tuples(st.lists(segments, min_size=1, max_size=4), st.booleans()).map(
+        lambda drawn: ".".join(drawn[0] + ["**"] * drawn[1])
+    ),
+    max_size=25,
+    unique_by=lambda text: text,
+)
 
 
 def matches(text: str, route: tuple[str, ...]) -> tuple | None:
-    """The plain way: compare segment by segment; how exact the match is, as a sort key."""
-    want, key = parse_pattern(text), []
-    for k, s in enumerate(want):
-        if s == "**":
+    """Compare segment by segment; returns how specific the match is as a sort key, None if there is none."""
+    expected, key = parse_pattern(text), []
+    for k, segment in enumerate(expected):
+        if segment == "**":
             return (*key, 2)
-        if k >= len(route) or (s != "{x}" and s != route[k]):
+        if k >= len(route) or (segment != "{x}" and segment != route[k]):
             return None
-        key.append(1 if s == "{x}" else 0)
-    return (*key, -1) if len(want) == len(route) else None
+        key.append(1 if segment == "{x}" else 0)
+    return (*key, -1) if len(expected) == len(route) else None
 
 
 @given(patterns, st.lists(st.sampled_from("abc"), min_size=1, max_size=5))
-def test_the_trie_agrees_with_a_plain_list(texts, method):
+def test_trie_finds_the_same_rule_as_a_linear_search(texts, method):
     route = rpc_route(".".join(method))
     found = [(key, t) for t in texts if (key := matches(t, route)) is not None]
-    assert made(*texts).find(route) == (min(found)[1] if found else None)
+    assert routes_of(*texts).find(route) == (min(found)[1] if found else None)
 
 
 # --- prices -----------------------------------------------------------------------------------------
@@ -121,9 +124,9 @@
     return price(RULE, body).amount
 
 
-def test_each_term_counts_what_it_says():
+def test_each_term_counts_its_field():
     empty = cost({})
-    assert empty == 1200  # the least
+    assert empty == 1200  # the minimum
     plain = Rule("x", 0, RULE.terms[1:])
     assert price(plain, {"trip": {"stops": [1, 2, 3]}}).amount == 1500
     assert price(plain, {"people": 3}).amount == 750 and price(plain, {"people": 2.5}).amount == 625
@@ -132,7 +135,7 @@
     found = price(plain, {"people": 2, "return": True})
     assert found.additions == (("times people", 2000, 500), ("present return", 1000, 2000))
     assert price(Rule("x", 0, RULE.terms[:1]), {"a": "x" * 2040}).amount == 200
-    assert cost({"trip": {"stops": list(range(1000))}}) == 20_000  # the most
+    assert cost({"trip": {"stops": list(range(1000))}}) == 20_000  # the maximum
 
 
 @pytest.mark.parametrize(
@@ -140,11 +143,11 @@
     [None, 1, "x", [], {"trip": 1}, {"trip": {"stops": "many"}}, {"trip": {"stops": 10**9}}, {"people": "9"},
      {"people": -5}, {"people": True}, {"people": []}, {"trip": [{"stops": []}]}],
 )  # fmt: skip
-def test_a_field_of_another_kind_adds_nothing(body):
+def test_field_of_another_type_adds_nothing(body):
     assert cost(body) == 1200
 
 
-def test_numbers_in_a_body_are_bounded():
+def test_number_in_a_body_counts_up_to_the_maximum():
     plain = Rule("x", 0, (Term(TermKind.VALUE, ("n",), 1000),))
     assert price(plain, {"n": 10**18}).amount == price(plain, {"n": 1e300}).amount == 10**6 * 1000
 
@@ -159,16 +162,16 @@
 
 
 @given(bodies)
-def test_any_body_has_a_price_between_the_bounds_that_is_the_sum_of_its_parts(body):
+def test_price_of_any_body_is_the_bounded_sum_of_its_additions(body):
     if "inf" in repr(body):
         return
     found = price(RULE, body)
     assert RULE.minimum <= found.amount <= RULE.maximum
-    whole = RULE.base + sum(added for _, _, added in found.additions)
-    assert found.amount == min(RULE.maximum, max(RULE.minimum, whole))
+    total = RULE.base + sum(added for _, _, added in found.additions)
+    assert found.amount == min(RULE.maximum, max(RULE.minimum, total))
 
 
-def test_the_default_stands_for_routes_without_a_rule():
+def test_route_without_a_rule_has_the_default_price():
     rules = CostRules(Rule("default", 700), [RULE, Rule("POST /rides/{id}", 900)])
     assert rules.price_rpc("look", {}).amount == 700 and rules.price_rpc("booking", {}).rule is RULE
     assert (
