--- a/rushweir/cli/change.py
+++ b/rushweir/cli/change.py
@@ -55,9 +55,9 @@
     from rushweir.logs.decisions import Limiter
     from rushweir.logs.log import Log
     from rushweir.logs.sink import Sink
-    from rushweir.rollout.book import Book
-    from rushweir.rollout.sending import Sending
+    from rushweir.rollout.object_store import ObjectStore
     from rushweir.rollout.storage import StorageError
+    from rushweir.rollout.watch_sessions import WatchSessions
 
     try:
         config = load_control(file)
@@ -77,7 +77,7 @@
             lines.event("warning", "torn_end_cut", path=str(files.path), at=files.kept.valid_bytes, bytes=files.torn)
         sessions = None
         if config.watch_key is not None:
-            sessions = Sending(clock(), Book(), config.watch_key, seed=secrets.randbits(63), first=new)
+            sessions = WatchSessions(clock(), ObjectStore(), config.watch_key, seed=secrets.randbits(63), first=new)
         process = ControlProcess(config, files, clock, lines.event, sessions)
         try:
             return await process.run(lambda line: print(line, flush=True), lambda p: Operators(p).serve())
--- a/rushweir/daemon/control_operators.py
+++ b/rushweir/daemon/control_operators.py
@@ -106,7 +106,7 @@
         now = p.clock()
         told = p.core.status(now)
         if p.sessions is not None and hasattr(p.sessions, "rows"):
-            told |= {"ingresses": p.sessions.rows(), "least": p.sessions.least()}
+            told |= {"ingresses": p.sessions.rows(), "least": p.sessions.minimum_acting_version()}
         return told | {
             "address": ":".join(map(str, p.config.addresses[p.config.me])), "linked": sorted(p.lines),
             "watchers": len(p.watchers), "counts": dict(p.core.counts),
--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -58,12 +58,12 @@
 
 
 class Sessions(Protocol):
-    """Those that watch: what the control process tells it, and asks of it by ``orders``: each has ``conn`` and
-    ``data`` (send), ``conn`` and ``why`` (close), or ``told`` (for the other control processes)."""
+    """Those that watch: what the control process tells it, and asks of it by ``commands``: each has ``conn`` and
+    ``data`` (send), ``conn`` and ``why`` (close), or ``report`` (for the other control processes)."""
 
-    orders: deque[Any]
+    commands: deque[Any]
 
-    def jumped(self, now: float, number: int, objects: Objects) -> None: ...
+    def snapshot_installed(self, now: float, number: int, objects: Objects) -> None: ...
 
     def committed(self, now: float, step: ChangeSet) -> None: ...
 
@@ -356,7 +356,7 @@
                 if self.sessions is not None:
                     self.sessions.committed(self.clock(), order.change_set)
             case SnapshotInstalled() if self.sessions is not None:
-                self.sessions.jumped(self.clock(), order.version, order.objects)
+                self.sessions.snapshot_installed(self.clock(), order.version, order.objects)
 
     def kept(self, serial: int) -> None:
         self.core.persisted(self.clock(), serial)
@@ -395,12 +395,12 @@
             self.carry_out()
 
     def _carry_sessions(self) -> None:
-        orders = self.sessions.orders if self.sessions is not None else ()
+        orders = self.sessions.commands if self.sessions is not None else ()
         while orders:
             order = orders.popleft()
-            if hasattr(order, "told"):
+            if hasattr(order, "report"):
                 for line in self.lines.values():
-                    line.send(["report", order.told])
+                    line.send(["report", order.report])
             elif (wire := self.watchers.get(order.conn)) is not None:
                 if hasattr(order, "data"):
                     wire.send(order.data)
--- a/rushweir/daemon/rollout_files.py
+++ b/rushweir/daemon/rollout_files.py
@@ -1,8 +1,8 @@
 """Where an ingress keeps the settings that came from the control processes: a thin shell on files.
 
-In the state folder: ``rollout.book`` and ``rollout.log`` (rollout/kept.py), and ``rollout.between``, whose customers
-are held down until all know their new doors (rollout/ceilings.py): a restart must not forget it. It is on disk before
-the change that it is of. All are written in a thread, in their order.
+In the state folder: ``rollout.book`` and ``rollout.log`` (rollout/stored_settings.py), and ``rollout.between``, whose
+customers are held down until all know their new doors (rollout/ceilings.py): a restart must not forget it. It is on
+disk before the change that it is of. All are written in a thread, in their order.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from pathlib import Path
 
 from rushweir.files import replace_file
-from rushweir.rollout import kept as disk
-from rushweir.rollout.book import Book, Data, record, records
+from rushweir.rollout import stored_settings as disk
 from rushweir.rollout.ceilings import Between
 from rushweir.rollout.change_sets import Key
-from rushweir.rollout.kept import Append, Kept
+from rushweir.rollout.object_store import FileData, ObjectStore, decode_records, encode_record
+from rushweir.rollout.stored_settings import Append, StoredSettings
 from rushweir.rollout.watching import Keep
 
 BOOK, LOG, BETWEEN = "rollout.book", "rollout.log", "rollout.between"
@@ -28,7 +28,7 @@
 
 
 @contextlib.contextmanager
-def mapped(path: Path) -> Iterator[Data | None]:
+def mapped(path: Path) -> Iterator[FileData | None]:
     """A file's bytes; None: there is no file. Raises OSError."""
     if not path.exists():
         yield None
@@ -40,8 +40,8 @@
 
 
 @contextlib.contextmanager
-def snapshot(book: Book) -> Iterator[memoryview]:
-    """A book's bytes, as ``Book.dump``. Raises OSError."""
+def snapshot(book: ObjectStore) -> Iterator[memoryview]:
+    """A book's bytes, as ``ObjectStore.dump``. Raises OSError."""
     pages = sum(map(len, book.pages()))
     with mmap(-1, pages) as room:
         for page in book.pages():
@@ -57,22 +57,22 @@
         self.book, self.log, self.between = folder / BOOK, folder / LOG, folder / BETWEEN
         self.bytes = 0  # written in this life
 
-    def load(self) -> tuple[Kept, list[str]]:
+    def load(self) -> tuple[StoredSettings, list[str]]:
         """Cuts a log behind its last whole record. Raises OSError."""
         with mapped(self.book) as book, mapped(self.log) as log:
             kept, wrong, good = disk.load(book, log)
             torn = log is not None and good < len(log)
         if torn:
             os.truncate(self.log, good)
-        if kept.book.version and good < len(disk.MAGIC):  # no log to write behind
-            kept.failed()
+        if kept.store.version and good < len(disk.MAGIC):  # no log to write behind
+            kept.write_failed()
         return kept, wrong
 
     def load_between(self) -> Between:
         """Raises OSError, ValueError, TypeError."""
         if not self.between.exists():
             return Between()
-        found = [payload for _, payload in records(self.between.read_bytes(), 0)]
+        found = [payload for _, payload in decode_records(self.between.read_bytes(), 0)]
         if len(found) != 1:
             raise ValueError(f"{BETWEEN} is torn or altered")
         return Between.load(found[0])
@@ -82,12 +82,12 @@
         waiting: list[bytes] = []
         for order in orders:
             if isinstance(order, Between):
-                replace_file(self.between, record(order.dump()), 0o600)
+                replace_file(self.between, encode_record(order.dump()), 0o600)
             elif isinstance(order.what, Append):
                 waiting.append(order.what.data)
             else:
                 waiting.clear()  # the book has them
-                with snapshot(order.what.book) as data:
+                with snapshot(order.what.store) as data:
                     replace_file(self.book, data, 0o600)
                     self.bytes += len(data) + len(disk.MAGIC)
                 replace_file(self.log, disk.MAGIC, 0o600)
@@ -102,7 +102,7 @@
 class Objects:
     """Those of a book, made as they are walked through: a list of all would be larger than what is made of them."""
 
-    def __init__(self, book: Book) -> None:
+    def __init__(self, book: ObjectStore) -> None:
         self.book = book
 
     def __iter__(self) -> Iterator[tuple[Key, bytes]]:
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -32,11 +32,11 @@
 from rushweir.link.websocket import Messages, client_protocol
 from rushweir.rollout.ceilings import ANYBODY, Between
 from rushweir.rollout.change_sets import Change
-from rushweir.rollout.kept import Kept, Rewrite
+from rushweir.rollout.large_messages import LargeMessage
+from rushweir.rollout.stored_settings import Rewrite, StoredSettings
 from rushweir.rollout.watch_mail import MOST_MESSAGE
 from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
-from rushweir.rollout.weighing import Weighing
 
 MOST_UNSENT = 1_048_576  # bytes that wait in a connection; it says little, so more is a connection that is stuck
 
@@ -91,9 +91,9 @@
         self.flush()
         r.carry_out()
 
-    async def _weigh(self, text: bytes | str, work: Weighing) -> None:
+    async def _weigh(self, text: bytes | str, work: LargeMessage) -> None:
         """A large message is read beside the loop; those behind it wait."""
-        await beside(work.run)
+        await beside(work.prepare)
         r, self.weighs = self.rollouts, False
         if r.wires.get(self.conn) is self:
             r.core.received(r.clock(), self.conn, text, work)
@@ -156,7 +156,7 @@
         self.received_bytes = self.settled = 0
         self.broken = self.stopped = False
 
-    def _watching(self, kept: Kept) -> Watching:
+    def _watching(self, kept: StoredSettings) -> Watching:
         name, addresses, key = self.given
         return Watching(self.clock(), name, addresses, kept, key, secrets.randbits(63))
 
@@ -169,7 +169,7 @@
                 config = live.assemble(self.path, Objects(book), book.version, self.between)
             except (Refused, ValueError, TypeError) as problem:
                 self.log.event("error", "kept_settings_refused", version=book.version, why=str(problem)[:300])
-                self.core = self._watching(Kept())
+                self.core = self._watching(StoredSettings())
             else:
                 self.log.event("info", "settings_kept", version=book.version, objects=book.count)
                 self.carry_out()
--- a/rushweir/lab/scale/rollout_roles.py
+++ b/rushweir/lab/scale/rollout_roles.py
@@ -1,8 +1,9 @@
 """Settings on their way from three control processes to many ingresses, on virtual clocks: what a change costs by how
 many ingresses there are and by how large the settings are, and a zone that comes back.
 
-The cores are the program's own (rollout/sending.py, watching.py); streams, disks and the control processes' log are
-the simulation's (lab/sim/rollout_world.py). Bytes are those of messages, before heads of WebSocket, TCP and IP.
+The cores are the program's own (rollout/watch_sessions.py, watching.py); streams, disks and the control processes'
+log are the simulation's (lab/sim/rollout_world.py). Bytes are those of messages, before heads of WebSocket, TCP
+and IP.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from rushweir.lab.sim.rollout_days import CONTROLS, ZONES
 from rushweir.lab.sim.rollout_world import Control, Ingress, Wire, World
 from rushweir.rollout.change_sets import Change
-from rushweir.rollout.sending import Sending
+from rushweir.rollout.watch_sessions import WatchSessions
 from rushweir.rollout.watching import Watching
 
 SEED = 1
@@ -43,7 +44,7 @@
             self.spent += process_time() - began
 
 
-class MeteredSending(Metered, Sending):
+class MeteredSending(Metered, WatchSessions):
     def advance(self, *given: Any) -> Any:
         return self._timed(super().advance, *given)
 
--- a/rushweir/lab/sim/rollout_days.py
+++ b/rushweir/lab/sim/rollout_days.py
@@ -20,10 +20,10 @@
 
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.rollout_watch import IN_FORCE_MS, Watched
-from rushweir.rollout.book import Book, entry, packed
 from rushweir.rollout.change_sets import Change, Key
-from rushweir.rollout.kept import MAGIC
-from rushweir.rollout.sending_records import Rates
+from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
+from rushweir.rollout.stored_settings import MAGIC
+from rushweir.rollout.watch_session_records import Rates
 
 Script = list[tuple[float, str, tuple]]
 START_MS = 6_000.0  # all are together
@@ -88,7 +88,7 @@
         w.run(START_MS)
         for c in w.controls:  # as if they had run for long
             assert c.core is not None
-            c.core.standing.complete = True
+            c.core.applied_versions.complete = True
         w.later(0.0, self._changes)
         for at, what, arguments in self.script:
             w.later(at - w.now, getattr(self, what), *arguments)
@@ -117,8 +117,8 @@
             if i.version != len(w.log):
                 raise Broken(f"calm, and {i.name} acts on {i.version} of {len(w.log)}")
         w.run(w.now + 8_000.0)
-        told = {c.core.least() for c in w.controls if c.core is not None}
-        if any(c.core is not None and c.core.standing.complete for c in w.controls) and told != {len(w.log)}:
+        told = {c.core.minimum_acting_version() for c in w.controls if c.core is not None}
+        if any(c.core is not None and c.core.applied_versions.complete for c in w.controls) and told != {len(w.log)}:
             raise Broken(f"calm, and the least that all act on is told as {sorted(told)} of {len(w.log)}")
 
     # --- what is changed -------------------------------------------------------------------------
@@ -260,8 +260,10 @@
         if i.files[0] is None or i.core is None:
             return
         self.world.kill_ingress(i)
-        book = Book.load(i.files[0])
-        book.put([(packed(self.names[seed % 7]), entry(max(1, book.version), b".of elsewhere"))], book.version)
+        book = ObjectStore.load(i.files[0])
+        book.put(
+            [(encode_key(self.names[seed % 7]), encode_object(max(1, book.version), b".of elsewhere"))], book.version
+        )
         i.files, i.word = (book.dump(), MAGIC), 0
         self.world.foreign.add(i.name)
         self.world.mended.add((i.name, i.life + 1))
--- a/rushweir/lab/sim/rollout_plants.py
+++ b/rushweir/lab/sim/rollout_plants.py
@@ -14,26 +14,26 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.change_sets import ChangeSet, pack, unpack
-from rushweir.rollout.sending import Sending
+from rushweir.rollout.watch_sessions import WatchSessions
 from rushweir.rollout.watching import Watching
 from rushweir.rollout.watching_ahead import Ahead, Delta
 
 KINDS = ("bulky", "hasty", "unjittered", "forgotten", "unchecked", "early", "alone")
 
 
-class Bulky(Sending):
-    def _step(self, step: ChangeSet, digest: bytes) -> bytes:
-        objects = [row for part in self.book.parts for row in part.items()]
+class Bulky(WatchSessions):
+    def _change_set_message(self, step: ChangeSet, digest: bytes) -> bytes:
+        objects = [row for part in self.store.buckets for row in part.items()]
         return mail.write("rollout.step", {"step": pack(step), "digest": digest, "objects": objects}, self.key)
 
 
-class Forgotten(Sending):
+class Forgotten(WatchSessions):
     def committed(self, now: float, step: ChangeSet) -> None:
         super().committed(now, step)
-        self.book.gone.clear()
+        self.store.tombstones.clear()
 
 
-class Alone(Sending):
+class Alone(WatchSessions):
     def take_report(self, now: float, told: Any) -> None:
         pass
 
@@ -89,7 +89,7 @@
     """For a day."""
 
     def into(world: Any) -> None:
-        world.sending = SENDING.get(kind, Sending)
+        world.sending = SENDING.get(kind, WatchSessions)
         world.watching = WATCHING.get(kind, Watching)
 
     return into
--- a/rushweir/lab/sim/rollout_watch.py
+++ b/rushweir/lab/sim/rollout_watch.py
@@ -20,7 +20,7 @@
 from rushweir.lab.sim.rollout_world import KEY, Control, Ingress, Wire, World
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.change_sets import Change, Key, pack, unpack
-from rushweir.rollout.sending_records import PIECE, Rates
+from rushweir.rollout.watch_session_records import CHUNK_BYTES, Rates
 
 IN_FORCE_MS = 11_000.0
 LOOK_MS = 500.0
@@ -103,7 +103,7 @@
         if second != c.second:
             c.second, c.sent = second, 0.0
         c.sent += len(data)
-        most = self.rates.rate + self.rates.burst + 2 * max(PIECE, self.largest)
+        most = self.rates.rate + self.rates.burst + 2 * max(CHUNK_BYTES, self.largest)
         if c.sent > most:
             raise Broken(f"{c.name} sent {c.sent:.0f} bytes in a second, {most:.0f} at most")
         if b'"rollout.mend"' in data[:60]:
@@ -180,7 +180,7 @@
             raise Broken(f"{i.name} acts on {i.version}, and {head} is older than that")
 
     def _least(self) -> None:
-        told = max((c.core.standing.told for c in self.controls if c.core is not None), default=0)
+        told = max((c.core.applied_versions.reported_minimum for c in self.controls if c.core is not None), default=0)
         for i in self.ingresses:
             if i.core is None:
                 continue
--- a/rushweir/lab/sim/rollout_world.py
+++ b/rushweir/lab/sim/rollout_world.py
@@ -16,13 +16,13 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from rushweir.rollout import kept as disk
-from rushweir.rollout.book import Book
+from rushweir.rollout import stored_settings as disk
 from rushweir.rollout.change_sets import Change, ChangeSet, Key
-from rushweir.rollout.kept import Append
-from rushweir.rollout.sending import Sending
-from rushweir.rollout.sending_records import Close, Rates, Report
-from rushweir.rollout.sending_records import Send as Sent
+from rushweir.rollout.object_store import ObjectStore
+from rushweir.rollout.stored_settings import Append
+from rushweir.rollout.watch_session_records import Close, Rates, Report
+from rushweir.rollout.watch_session_records import Send as Sent
+from rushweir.rollout.watch_sessions import WatchSessions
 from rushweir.rollout.watching import Apply, Keep, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
 
@@ -50,8 +50,8 @@
     name: str
     zone: int
     offset: float
-    core: Sending | None = None
-    book: Book = field(default_factory=Book)  # its disk
+    core: WatchSessions | None = None
+    book: ObjectStore = field(default_factory=ObjectStore)  # its disk
     wires: dict[int, Wire] = field(default_factory=dict)
     wake: float = float("inf")
     serial: int = 0
@@ -84,7 +84,7 @@
     """``make`` gives the cores, so that a fault can be planted in them."""
 
     watching: Callable[..., Watching] = Watching
-    sending: Callable[..., Sending] = Sending
+    sending: Callable[..., WatchSessions] = WatchSessions
 
     def __init__(self, seed: int, controls: list[int], zones: list[int], rates: Rates | None = None) -> None:
         """The zones of the control processes and of the ingresses."""
@@ -145,7 +145,7 @@
 
     def kill_control(self, c: Control) -> None:
         if c.core is not None:
-            c.book, c.core, c.ok_since = c.core.book, None, float("inf")
+            c.book, c.core, c.ok_since = c.core.store, None, float("inf")
             for wire in list(c.wires.values()):
                 self.break_wire(wire, "up")
             self.counts["control_kills"] += 1
@@ -159,8 +159,8 @@
         )
         i.life += 1
         i.up_since, i.wake, i.known_since = self.now, float("inf"), float("inf")
-        i.acting = {key: data for key, _, data in kept.book.objects()}
-        i.version = kept.book.version
+        i.acting = {key: data for key, _, data in kept.store.objects()}
+        i.version = kept.store.version
         self.tend(i)
 
     def kill_ingress(self, i: Ingress) -> None:
@@ -251,12 +251,12 @@
     # --- orders ----------------------------------------------------------------------------------
 
     def _control_orders(self, c: Control) -> None:
-        while c.core is not None and c.core.orders:
-            order = c.core.orders.popleft()
+        while c.core is not None and c.core.commands:
+            order = c.core.commands.popleft()
             if isinstance(order, Report):
                 for other in self.controls:
                     if other is not c and self.together(c, other):
-                        self.later(self.rng.uniform(*DELAY_MS), self._report, other, order.told)
+                        self.later(self.rng.uniform(*DELAY_MS), self._report, other, order.report)
                 continue
             wire = c.wires.get(order.conn)
             if wire is None:
@@ -354,7 +354,7 @@
         if isinstance(what, Append):
             i.files = (i.files[0], i.files[1] + what.data)
         else:
-            i.files = (what.book.dump(), disk.MAGIC)
+            i.files = (what.store.dump(), disk.MAGIC)
         life.kept(i.offset + self.now, version)
         self.tend(i)
 
@@ -387,7 +387,7 @@
                 if not c.core.current:
                     c.core.set_current(now, True)
                     c.ok_since = self.now
-                for step in self.log[c.core.book.version :]:
+                for step in self.log[c.core.store.version :]:
                     c.core.committed(now, step)
             else:
                 c.lone_since = min(c.lone_since, self.now)
--- a/rushweir/rollout/sending_standing.py
+++ b/rushweir/rollout/applied_versions.py
@@ -24,85 +24,92 @@
 from typing import Any
 
 EXPIRE_MS = 600_000.0
-MOST_KNOWN = 4_096  # ingresses; beyond that the ones expired longest are forgotten, and then newcomers refused
+MAX_KNOWN = 4_096  # ingresses; beyond that the ones expired longest are forgotten, and then newcomers refused
 
 
 @dataclass(slots=True)
-class Known:
-    acts: int
+class KnownIngress:
+    acting_version: int
     heard_at: float
     why: str = ""  # it is behind: what it refused, with object and field, or what its disk said
-    at: int = 0  # the version that it refused
+    refused_version: int = 0  # the version that it refused
 
 
-class Standing:
+class AppliedVersions:
     """The account of one control process."""
 
     def __init__(self, now: float, expire_ms: float = EXPIRE_MS, first: bool = False) -> None:
         """``first``: of the first start of all control processes, when nobody can act on anything yet."""
-        self.begun, self.expire = now, expire_ms
-        self.known: dict[str, Known] = {}
-        self.here: set[str] = set()  # with a session that is open here
-        self.told, self.complete, self.changed = 0, first, True
+        self.started_at, self.expire_ms = now, expire_ms
+        self.known: dict[str, KnownIngress] = {}
+        self.connected: set[str] = set()  # with a session that is open here
+        self.reported_minimum, self.complete, self.changed = 0, first, True
 
-    def heard(self, now: float, who: str, acts: int, why: str = "", at: int = 0) -> bool:
+    def record(self, now: float, who: str, acts: int, why: str = "", at: int = 0) -> bool:
         """Of one of our own; False where there is no room for it."""
         if who not in self.known and not self._room(now):
             return False
         old = self.known.get(who)
-        self.changed |= old is None or (old.acts, old.why, old.at) != (acts, why, at)
-        self.known[who] = Known(acts, now, why, at)
+        self.changed |= old is None or (old.acting_version, old.why, old.refused_version) != (acts, why, at)
+        self.known[who] = KnownIngress(acts, now, why, at)
         return True
 
     def _room(self, now: float) -> bool:
-        if len(self.known) < MOST_KNOWN:
+        if len(self.known) < MAX_KNOWN:
             return True
         oldest = min(self.known, key=lambda w: self.known[w].heard_at)
-        if self.expired(now, self.known[oldest]):
+        if self.is_expired(now, self.known[oldest]):
             del self.known[oldest]
-        return len(self.known) < MOST_KNOWN
+        return len(self.known) < MAX_KNOWN
 
-    def expired(self, now: float, k: Known) -> bool:
-        return now - k.heard_at > self.expire
+    def is_expired(self, now: float, k: KnownIngress) -> bool:
+        return now - k.heard_at > self.expire_ms
 
     def forget(self, who: str) -> bool:
         """An operator says that it will not come back."""
-        return who not in self.here and self.known.pop(who, None) is not None
+        return who not in self.connected and self.known.pop(who, None) is not None
 
-    def least(self, now: float) -> int:
+    def minimum(self, now: float) -> int:
         """0 while nothing can be said."""
-        self.complete = self.complete or now - self.begun > self.expire
-        acts = [k.acts for k in self.known.values() if not self.expired(now, k)]
+        self.complete = self.complete or now - self.started_at > self.expire_ms
+        acts = [k.acting_version for k in self.known.values() if not self.is_expired(now, k)]
         if self.complete and acts:
-            self.told = max(self.told, min(acts))
-        return self.told
+            self.reported_minimum = max(self.reported_minimum, min(acts))
+        return self.reported_minimum
 
     # --- between the control processes -----------------------------------------------------------
 
     def report(self, now: float) -> dict[str, Any]:
         """All that is known; ages instead of times, as clocks share no zero."""
         self.changed = False
-        self.least(now)
-        rows = [[w, k.acts, max(0, int(now - k.heard_at)), k.why, k.at] for w, k in self.known.items()]
-        return {"complete": self.complete, "told": self.told, "rows": rows}
-
-    def take(self, now: float, report: Any) -> None:
+        self.minimum(now)
+        rows = [
+            [w, k.acting_version, max(0, int(now - k.heard_at)), k.why, k.refused_version]
+            for w, k in self.known.items()
+        ]
+        return {"complete": self.complete, "told": self.reported_minimum, "rows": rows}
+
+    def merge_report(self, now: float, report: Any) -> None:
         """Of another. Raises ValueError, with nothing taken."""
         try:
             complete, told = report["complete"] is True, report["told"]
             rows = [
-                (str(who), Known(int(acts), now - max(0, int(age)), str(why), int(at)))
+                (str(who), KnownIngress(int(acts), now - max(0, int(age)), str(why), int(at)))
                 for who, acts, age, why, at in report["rows"]
             ]
         except (KeyError, TypeError, ValueError) as problem:
             raise ValueError(f"no report of a control process: {problem}") from None
-        if type(told) is not int or len(rows) > MOST_KNOWN:
+        if type(told) is not int or len(rows) > MAX_KNOWN:
             raise ValueError("no report of a control process")
         for who, k in rows:
             mine = self.known.get(who)
-            if who not in self.here and (mine is None or mine.heard_at < k.heard_at) and (mine or self._room(now)):
+            if (
+                who not in self.connected
+                and (mine is None or mine.heard_at < k.heard_at)
+                and (mine or self._room(now))
+            ):
                 self.known[who] = k
-        self.told = max(self.told, told)  # nothing was raised by less
+        self.reported_minimum = max(self.reported_minimum, told)  # nothing was raised by less
         self.complete = self.complete or complete
 
     def rows(self, now: float, head: int) -> list[dict[str, Any]]:
@@ -111,10 +118,12 @@
         for who, k in self.known.items():
             silent = now - k.heard_at
             why = k.why
-            if who not in self.here and silent > 5_000.0:
-                why = f"not heard for {silent / 1000:.0f} s" + (", expired" if self.expired(now, k) else "")
-            elif not why and k.acts < head:
+            if who not in self.connected and silent > 5_000.0:
+                why = f"not heard for {silent / 1000:.0f} s" + (", expired" if self.is_expired(now, k) else "")
+            elif not why and k.acting_version < head:
                 why = "on its way"
-            behind = max(0, head - k.acts)
-            found.append({"ingress": who, "acts": k.acts, "behind": behind, "why": why, "refused": k.at})
+            behind = max(0, head - k.acting_version)
+            found.append(
+                {"ingress": who, "acts": k.acting_version, "behind": behind, "why": why, "refused": k.refused_version}
+            )
         return sorted(found, key=lambda r: (-r["behind"], r["ingress"]))
--- a/rushweir/rollout/weighing.py
+++ b/rushweir/rollout/large_messages.py
@@ -9,21 +9,21 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout.book import BookError
 from rushweir.rollout.change_sets import ChangeSet, ChangeSetError, unpack
+from rushweir.rollout.object_store import ObjectStoreError
 from rushweir.rollout.watching_ahead import Ahead, Delta
 
-LARGE = 16_384  # characters of a message: a step of some 200 partners, which takes 2 ms
+LARGE_MESSAGE_CHARS = 16_384  # characters of a message: a step of some 200 partners, which takes 2 ms
 
 
-class Weighing:
+class LargeMessage:
     def __init__(self, text: bytes | str, key: bytes, view: Ahead) -> None:
         self.text, self.key, self.view = text, key, view
         self.found: tuple[str, dict[str, Any]] | mail.MailError = mail.MailError("not read")
-        self.step: ChangeSet | mail.MailError | ChangeSetError | BookError | None = None
+        self.change_set: ChangeSet | mail.MailError | ChangeSetError | ObjectStoreError | None = None
         self.delta: Delta | None = None
 
-    def run(self) -> None:
+    def prepare(self) -> None:
         """Raises nothing: what is wrong is told when the message is received."""
         try:
             method, fields = self.found = mail.read(self.text, self.key)
@@ -33,11 +33,11 @@
         if method != "rollout.step":
             return
         try:
-            self.step = step_of(fields)
-            if self.step.version == self.view.version + 1:
-                self.delta = self.view.weigh(self.step)
-        except (mail.MailError, ChangeSetError, BookError) as problem:
-            self.step = problem
+            self.change_set = decode_change_set(fields)
+            if self.change_set.version == self.view.version + 1:
+                self.delta = self.view.weigh(self.change_set)
+        except (mail.MailError, ChangeSetError, ObjectStoreError) as problem:
+            self.change_set = problem
 
     def read(self) -> tuple[str, dict[str, Any]]:
         """Raises MailError."""
@@ -45,13 +45,13 @@
             raise self.found
         return self.found
 
-    def step_read(self) -> ChangeSet:
+    def decoded(self) -> ChangeSet:
         """Raises MailError, ChangeSetError, BookError."""
-        if not isinstance(self.step, ChangeSet):
-            raise self.step or ChangeSetError("no step")
-        return self.step
+        if not isinstance(self.change_set, ChangeSet):
+            raise self.change_set or ChangeSetError("no step")
+        return self.change_set
 
 
-def step_of(fields: dict[str, Any]) -> ChangeSet:
+def decode_change_set(fields: dict[str, Any]) -> ChangeSet:
     """Raises MailError, ChangeSetError."""
     return unpack(mail.octets(fields, "step", mail.MOST_BODY))
--- a/rushweir/rollout/sending_records.py
+++ b/rushweir/rollout/watch_session_records.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout.book import Row
+from rushweir.rollout.object_store import Row
 
-BEAT_MS = 1_500.0
+HEARTBEAT_MS = 1_500.0
 REPORT_MS = (1_000.0, 3_000.0)  # with something new to tell, and without
 SILENT_MS = 10_000.0  # a session that says nothing for so long is closed
-MOST_SESSIONS = 2_048
-MOST_RECENT = 4_096  # steps that are kept as they went out
-MOST_RECENT_BYTES = 8 * 1_048_576
-MOST_STEPS_BYTES = 131_072  # of steps for one that comes back; beyond that what differs is asked for
-SMALL = 16_384  # bytes of a message
-PIECE = 32_768  # bytes of rows in a piece of what differs, before it is deflated
-MOST_LARGE = 4  # sessions that get pieces at a time; others wait
-LARGE_PART = 0.25  # of the rate, for larger messages
+MAX_SESSIONS = 2_048
+MAX_RECENT = 4_096  # steps that are kept as they went out
+MAX_RECENT_BYTES = 8 * 1_048_576
+MAX_CATCH_UP_BYTES = 131_072  # of steps for one that comes back; beyond that what differs is asked for
+SMALL_MESSAGE_BYTES = 16_384  # bytes of a message
+CHUNK_BYTES = 32_768  # bytes of rows in a piece of what differs, before it is deflated
+MAX_SNAPSHOT_SESSIONS = 4  # sessions that get pieces at a time; others wait
+LARGE_MESSAGE_SHARE = 0.25  # of the rate, for larger messages
 
 OPENED, STEPS, ASKED, HELD, QUEUED, LARGE = "opened", "steps", "asked", "held", "queued", "large"
 
@@ -40,11 +40,11 @@
 class Report:
     """For each of the other control processes, whose ``take_report`` it is."""
 
-    told: dict[str, Any]
+    report: dict[str, Any]
 
 
 @dataclass(slots=True)
-class Recent:
+class RecentChangeSet:
     message: bytes
     digest: bytes  # of the whole after the step
     behind: int  # bytes of all messages before this one, since the process began
@@ -54,14 +54,14 @@
 class Session:
     conn: int
     nonce: int
-    heard_at: float
+    last_seen_at: float
     state: str = OPENED
-    who: str = ""
+    watcher: str = ""
     sent: int = 0  # the version that it has when all that was sent came
     writable: bool = True
     theirs: bytes = b""  # digests of its parts, while it waits for a place
     repair: bool = False  # its objects are not even those of its version
-    pieces: Iterator[bytes] | None = None
+    messages: Iterator[bytes] | None = None
     target: int = 0  # the version that its pieces make
 
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     rates: Rates
     at: float
     level: float = field(init=False)
@@ -86,7 +86,7 @@
     def fill(self, now: float) -> None:
         more = self.rates.rate * (now - self.at) / 1000
         self.level = min(self.rates.burst, self.level + more)
-        self.large = min(self.rates.burst * LARGE_PART, self.large + more * LARGE_PART)
+        self.large = min(self.rates.burst * LARGE_MESSAGE_SHARE, self.large + more * LARGE_MESSAGE_SHARE)
         self.at = now
 
     def wait_ms(self) -> float:
@@ -94,13 +94,13 @@
         return max(1.0, -self.level / self.rates.rate * 1000)
 
 
-def pieces(
+def snapshot_messages(
     base: int, version: int, digest: bytes, rows: list[Row], marks: dict[int, bytes], key: bytes
 ) -> Iterator[bytes]:
     """Messages with all rows and marks, made one by one as they go out; the rows' bytes never change meanwhile."""
     at = number = 0
     while True:
-        piece, told, room = list[Row](), dict[int, bytes](), PIECE
+        piece, told, room = list[Row](), dict[int, bytes](), CHUNK_BYTES
         while at < len(rows) and room > 0:
             piece.append(rows[at])
             room -= len(rows[at][0]) + len(rows[at][1] or b"")
--- a/rushweir/rollout/sending.py
+++ b/rushweir/rollout/watch_sessions.py
@@ -26,57 +26,65 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout.book import DIGEST, PARTS, Book, BookError, Row, entry, packed
+from rushweir.rollout.applied_versions import EXPIRE_MS, AppliedVersions
 from rushweir.rollout.change_sets import ChangeSet, Key, pack
-from rushweir.rollout.sending_records import (
+from rushweir.rollout.object_store import (
+    BUCKET_COUNT,
+    DIGEST_BYTES,
+    ObjectStore,
+    ObjectStoreError,
+    Row,
+    encode_key,
+    encode_object,
+)
+from rushweir.rollout.watch_session_records import (
     ASKED,
-    BEAT_MS,
+    HEARTBEAT_MS,
     HELD,
     LARGE,
-    MOST_LARGE,
-    MOST_RECENT,
-    MOST_RECENT_BYTES,
-    MOST_SESSIONS,
-    MOST_STEPS_BYTES,
+    MAX_CATCH_UP_BYTES,
+    MAX_RECENT,
+    MAX_RECENT_BYTES,
+    MAX_SESSIONS,
+    MAX_SNAPSHOT_SESSIONS,
     OPENED,
     QUEUED,
     REPORT_MS,
     SILENT_MS,
-    SMALL,
+    SMALL_MESSAGE_BYTES,
     STEPS,
-    Bucket,
     Close,
     Rates,
-    Recent,
+    RecentChangeSet,
     Report,
     Send,
     Session,
-    pieces,
+    TokenBucket,
+    snapshot_messages,
 )  # fmt: skip
-from rushweir.rollout.sending_standing import EXPIRE_MS, Standing
 
 
-class Sending:
-    """All sessions of one control process; ``orders`` are for its shell."""
+class WatchSessions:
+    """All sessions of one control process; ``commands`` are for its shell."""
 
     def __init__(
-        self, now: float, book: Book, key: bytes = b"", rates: Rates | None = None, seed: int = 0,
+        self, now: float, book: ObjectStore, key: bytes = b"", rates: Rates | None = None, seed: int = 0,
         expire_ms: float = EXPIRE_MS, first: bool = False,
     ) -> None:  # fmt: skip
         """``book`` is what the log made so far; each ``committed`` step changes it. ``first``: as Standing has it."""
-        self.now, self.book, self.key, self.rng = now, book, key, random.Random(seed)
-        self.bucket = Bucket(rates or Rates(), now)
-        self.standing = Standing(now, expire_ms, first)
+        self.now, self.store, self.key, self.rng = now, book, key, random.Random(seed)
+        self.bucket = TokenBucket(rates or Rates(), now)
+        self.applied_versions = AppliedVersions(now, expire_ms, first)
         self.sessions: dict[int, Session] = {}
         self.by_name: dict[str, int] = {}
-        self.recent: dict[int, Recent] = {}
+        self.recent: dict[int, RecentChangeSet] = {}
         self.recent_bytes = self.passed = 0
         self.small: dict[int, None] = {}  # sessions whose next message is small, in their order; so with the large
         self.large: dict[int, None] = {}
         self.queue: dict[int, None] = {}
         self.beats: deque[tuple[float, int]] = deque()
         self.current, self.reported_at = False, now
-        self.orders: deque[Send | Close | Report] = deque()
+        self.commands: deque[Send | Close | Report] = deque()
         self.counts: Counter[str] = Counter()
 
     # --- what happens ----------------------------------------------------------------------------
@@ -84,25 +92,27 @@
     def committed(self, now: float, step: ChangeSet) -> None:
         """The next step of the log. Raises BookError where it is not the next."""
         self._clock(now)
-        self.book.take(step)
-        digest = self.book.digest()
-        message = self._step(step, digest)
-        self.recent[step.version] = Recent(message, digest, self.passed)
+        self.store.apply(step)
+        digest = self.store.digest()
+        message = self._change_set_message(step, digest)
+        self.recent[step.version] = RecentChangeSet(message, digest, self.passed)
         self.passed += len(message)
         self.recent_bytes += len(message)
-        while len(self.recent) > MOST_RECENT or self.recent_bytes > MOST_RECENT_BYTES and len(self.recent) > 1:
+        while len(self.recent) > MAX_RECENT or self.recent_bytes > MAX_RECENT_BYTES and len(self.recent) > 1:
             self.recent_bytes -= len(self.recent.pop(next(iter(self.recent))).message)
         for s in self.sessions.values():
             if s.state is STEPS:
                 self._line(s)
         self._pump()
 
-    def jumped(self, now: float, number: int, objects: dict[Key, tuple[int, bytes]]) -> None:
+    def snapshot_installed(self, now: float, number: int, objects: dict[Key, tuple[int, bytes]]) -> None:
         """All there is at a version: of a process that begins, or was so far behind that it took the whole."""
         self._clock(now)
-        book = Book()
-        book.put([(packed(key), entry(version, data)) for key, (version, data) in objects.items()], number)
-        self.book, self.recent, self.recent_bytes = book, {}, 0
+        book = ObjectStore()
+        book.put(
+            [(encode_key(key), encode_object(version, data)) for key, (version, data) in objects.items()], number
+        )
+        self.store, self.recent, self.recent_bytes = book, {}, 0
         for s in self.sessions.values():
             if s.state is STEPS:
                 self._line(s)
@@ -121,12 +131,12 @@
 
     def opened(self, now: float, conn: int) -> None:
         self._clock(now)
-        if len(self.sessions) >= MOST_SESSIONS:
-            self.orders.append(Close(conn, "too many sessions"))
+        if len(self.sessions) >= MAX_SESSIONS:
+            self.commands.append(Close(conn, "too many sessions"))
             return
         s = self.sessions[conn] = Session(conn, self.rng.getrandbits(62), now)
         self._send(s, self._beat(s.nonce))
-        self.beats.append((now + BEAT_MS, conn))
+        self.beats.append((now + HEARTBEAT_MS, conn))
 
     def closed(self, now: float, conn: int) -> None:
         self._clock(now)
@@ -134,9 +144,9 @@
         if s is None:
             return
         self._out_of_line(s)
-        if self.by_name.get(s.who) == conn:
-            del self.by_name[s.who]
-            self.standing.here.discard(s.who)
+        if self.by_name.get(s.watcher) == conn:
+            del self.by_name[s.watcher]
+            self.applied_versions.connected.discard(s.watcher)
         self._places()
         self._pump()
 
@@ -155,11 +165,11 @@
         s = self.sessions.get(conn)
         if s is None:
             return
-        s.heard_at = now
+        s.last_seen_at = now
         try:
             method, fields = mail.read(text, self.key)
             self._message(s, method, fields)
-        except (mail.MailError, BookError) as problem:
+        except (mail.MailError, ObjectStoreError) as problem:
             self.counts["bad_messages"] += 1
             self._drop(s, str(problem))
         self._pump()
@@ -167,17 +177,17 @@
     def take_report(self, now: float, told: Any) -> None:
         """Of another control process. Raises ValueError."""
         self._clock(now)
-        self.standing.take(now, told)
+        self.applied_versions.merge_report(now, told)
 
-    def least(self) -> int:
+    def minimum_acting_version(self) -> int:
         """The version that all who are known and not expired act on."""
-        return self.standing.least(self.now)
+        return self.applied_versions.minimum(self.now)
 
     def rows(self) -> list[dict[str, Any]]:
-        return self.standing.rows(self.now, self.book.version)
+        return self.applied_versions.rows(self.now, self.store.version)
 
     def next_at(self) -> float:
-        due = self.reported_at + REPORT_MS[0 if self.standing.changed else 1]
+        due = self.reported_at + REPORT_MS[0 if self.applied_versions.changed else 1]
         if self.beats:
             due = min(due, self.beats[0][0])
         if self.small or self.large:
@@ -191,15 +201,15 @@
             s = self.sessions.get(conn)
             if s is None:
                 continue
-            if now - s.heard_at > SILENT_MS:
+            if now - s.last_seen_at > SILENT_MS:
                 self._drop(s, "silent")
                 continue
             # The nonce until it watches: its first beat may have been refused on the way.
-            self._send(s, self._beat(None if s.who else s.nonce, self._waits(s)))
-            self.beats.append((now + BEAT_MS, conn))
-        if now >= self.reported_at + REPORT_MS[0 if self.standing.changed else 1]:
+            self._send(s, self._beat(None if s.watcher else s.nonce, self._waits(s)))
+            self.beats.append((now + HEARTBEAT_MS, conn))
+        if now >= self.reported_at + REPORT_MS[0 if self.applied_versions.changed else 1]:
             self.reported_at = now
-            self.orders.append(Report(self.standing.report(now)))
+            self.commands.append(Report(self.applied_versions.report(now)))
         self._pump()
 
     # --- what they say ---------------------------------------------------------------------------
@@ -207,7 +217,7 @@
     def _message(self, s: Session, method: str, fields: dict[str, Any]) -> None:
         if method == "rollout.watch":
             self._watch(s, fields)
-        elif not s.who:
+        elif not s.watcher:
             raise mail.MailError(f"{method} before a watch")
         elif method == "rollout.parts":
             self._differs(s, fields)
@@ -222,31 +232,31 @@
             raise mail.MailError(f"method {method!r:.40}")
 
     def _acts(self, s: Session, version: int, why: str, at: int = 0) -> None:
-        old = self.standing.known.get(s.who)
-        if not why and old is not None and (old.acts == version or old.at > version):
+        old = self.applied_versions.known.get(s.watcher)
+        if not why and old is not None and (old.acting_version == version or old.refused_version > version):
             # A sign of life, or an older version came to its disk: what it refused it still refuses.
-            why, at = old.why, old.at
-        if not self.standing.heard(self.now, s.who, version, why, at):
+            why, at = old.why, old.refused_version
+        if not self.applied_versions.record(self.now, s.watcher, version, why, at):
             raise mail.MailError("too many ingresses are known")
 
     def _watch(self, s: Session, fields: dict[str, Any]) -> None:
         if mail.whole(fields, "nonce") != s.nonce:
             raise mail.MailError("a watch of another session")
         who, version = mail.text(fields, "who", mail.MOST_WHO), mail.whole(fields, "version")
-        digest, repair = mail.octets(fields, "digest", DIGEST), fields.get("repair") is True
-        if not who or s.who not in ("", who):
+        digest, repair = mail.octets(fields, "digest", DIGEST_BYTES), fields.get("repair") is True
+        if not who or s.watcher not in ("", who):
             raise mail.MailError("who: a name, and the same in all of a session")
         old = self.sessions.get(self.by_name.get(who, -1))
         if old is not None and old is not s:
             self._drop(old, "it came again")
-        s.who, self.by_name[who] = who, s.conn
-        self.standing.here.add(who)
+        s.watcher, self.by_name[who] = who, s.conn
+        self.applied_versions.connected.add(who)
         self._acts(s, mail.whole(fields, "acts"), "")
         self._out_of_line(s)
         self._places()
         self.counts["watches"] += 1
         s.sent = version
-        head = self.book.version
+        head = self.store.version
         if version == 0 and not repair and head:
             self._line_up(s)
         elif repair or self._differ(version, digest):
@@ -257,8 +267,8 @@
 
     def _differ(self, version: int, digest: bytes) -> bool:
         """Whether its objects surely are not those of its version."""
-        if version == self.book.version:
-            return digest != self.book.digest()
+        if version == self.store.version:
+            return digest != self.store.digest()
         r = self.recent.get(version)
         return r is not None and r.digest != digest
 
@@ -271,11 +281,11 @@
         if s.state is not ASKED:
             return  # it watched anew meanwhile
         version = mail.whole(fields, "version")
-        if version > self.book.version:
+        if version > self.store.version:
             s.state, s.sent = STEPS, version  # it has more than this process; nobody goes back
             return
-        s.theirs = mail.octets(fields, "digests", PARTS * DIGEST)
-        self.book.differing(s.theirs)  # refused now if it is no such thing
+        s.theirs = mail.octets(fields, "digests", BUCKET_COUNT * DIGEST_BYTES)
+        self.store.differing_buckets(s.theirs)  # refused now if it is no such thing
         s.sent, s.repair = version, fields.get("repair") is True
         self._line_up(s)
 
@@ -292,25 +302,25 @@
 
     def _places(self) -> None:
         """What differs is looked up when there is a place, not before: rows for all who wait would take room."""
-        while self.queue and sum(s.state is LARGE for s in self.sessions.values()) < MOST_LARGE:
+        while self.queue and sum(s.state is LARGE for s in self.sessions.values()) < MAX_SNAPSHOT_SESSIONS:
             s = self.sessions[next(iter(self.queue))]
             del self.queue[s.conn]
             rows, marks = self._rows(s)
-            s.pieces = pieces(s.sent, self.book.version, self.book.digest(), rows, marks, self.key)
-            s.target, s.theirs, s.state = self.book.version, b"", LARGE
+            s.messages = snapshot_messages(s.sent, self.store.version, self.store.digest(), rows, marks, self.key)
+            s.target, s.theirs, s.state = self.store.version, b"", LARGE
             self._line(s)
 
     def _rows(self, s: Session) -> tuple[list[Row], dict[int, bytes]]:
         """What differs, and the names of all that is left where tombstones can't tell what is gone."""
         if not s.theirs:
             self.counts["wholes"] += 1
-            return [row for part in self.book.parts for row in part.items()], {}
-        parts = self.book.differing(s.theirs)
+            return [row for part in self.store.buckets for row in part.items()], {}
+        parts = self.store.differing_buckets(s.theirs)
         after = -1 if s.repair else s.sent
-        rows: list[Row] = [row for p in parts for row in self.book.changed(p, after)]
-        dropped = self.book.dropped(s.sent)
+        rows: list[Row] = [row for p in parts for row in self.store.changed_since(p, after)]
+        dropped = self.store.deleted_since(s.sent)
         if s.repair or dropped is None:
-            return rows, {p: self.book.marks(p) for p in parts}
+            return rows, {p: self.store.object_digests(p) for p in parts}
         return rows + [(text, None) for text in dropped], {}
 
     # --- what goes out ---------------------------------------------------------------------------
@@ -321,17 +331,17 @@
             return
         if s.state is LARGE:
             self.large[s.conn] = None
-        elif s.state is STEPS and s.sent < self.book.version:
+        elif s.state is STEPS and s.sent < self.store.version:
             first = self.recent.get(s.sent + 1)
-            if first is None or self.passed - first.behind > MOST_STEPS_BYTES + len(first.message):
+            if first is None or self.passed - first.behind > MAX_CATCH_UP_BYTES + len(first.message):
                 self._ask(s)
             else:
-                (self.small if len(first.message) <= SMALL else self.large)[s.conn] = None
+                (self.small if len(first.message) <= SMALL_MESSAGE_BYTES else self.large)[s.conn] = None
 
     def _out_of_line(self, s: Session) -> None:
         for line in (self.small, self.large, self.queue):
             line.pop(s.conn, None)
-        s.pieces, s.theirs, s.state = None, b"", OPENED
+        s.messages, s.theirs, s.state = None, b"", OPENED
 
     def _pump(self) -> None:
         bucket = self.bucket
@@ -350,10 +360,10 @@
             self._line(s)
 
     def _next(self, s: Session) -> bytes | None:
-        if s.state is LARGE and s.pieces is not None:
-            message = next(s.pieces, None)
+        if s.state is LARGE and s.messages is not None:
+            message = next(s.messages, None)
             if message is None:
-                s.pieces, s.state, s.sent = None, STEPS, s.target
+                s.messages, s.state, s.sent = None, STEPS, s.target
                 self._places()
             return message
         recent = self.recent.get(s.sent + 1) if s.state is STEPS else None
@@ -366,9 +376,9 @@
     def _send(self, s: Session, message: bytes) -> None:
         self.bucket.level -= len(message)
         self.counts["bytes"] += len(message)
-        self.orders.append(Send(s.conn, message))
+        self.commands.append(Send(s.conn, message))
 
-    def _step(self, step: ChangeSet, digest: bytes) -> bytes:
+    def _change_set_message(self, step: ChangeSet, digest: bytes) -> bytes:
         return mail.write("rollout.step", {"step": pack(step), "digest": digest}, self.key)
 
     def _waits(self, s: Session) -> bool:
@@ -377,14 +387,15 @@
 
     def _beat(self, nonce: int | None = None, waits: bool = False) -> bytes:
         fields: dict[str, Any] = {
-            "head": self.book.version, "least": self.least(), "current": self.current, "waits": waits
+            "head": self.store.version, "least": self.minimum_acting_version(),
+            "current": self.current, "waits": waits,
         }  # fmt: skip
         if nonce is not None:
             fields["nonce"] = nonce
         return mail.write("rollout.beat", fields, self.key)
 
     def _drop(self, s: Session, why: str) -> None:
-        self.orders.append(Close(s.conn, why))
+        self.commands.append(Close(s.conn, why))
         self.closed(self.now, s.conn)
 
     def _clock(self, now: float) -> None:
--- a/rushweir/rollout/watching.py
+++ b/rushweir/rollout/watching.py
@@ -30,12 +30,12 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout.book import DIGEST, BookError, sound
 from rushweir.rollout.change_sets import Change, ChangeSetError, Key
-from rushweir.rollout.kept import Append, Kept, Rewrite
+from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage, decode_change_set
+from rushweir.rollout.object_store import DIGEST_BYTES, ObjectStoreError, validate_row
+from rushweir.rollout.stored_settings import Append, Rewrite, StoredSettings
 from rushweir.rollout.watching_ahead import Ahead, Delta, Frozen, of_marks
 from rushweir.rollout.watching_links import Connect, Disconnect, Links
-from rushweir.rollout.weighing import LARGE, Weighing, step_of
 
 ACTS_MS = (200.0, 2_000.0)  # between two words on what it acts on: with something new, and as a sign of life
 RETRY_MS = (200.0, 3_200.0)  # before it asks again: at first, and at most
@@ -97,12 +97,12 @@
 
 class Watching:
     def __init__(
-        self, now: float, name: str, controls: tuple[str, ...], kept: Kept, key: bytes = b"", seed: int = 0
+        self, now: float, name: str, controls: tuple[str, ...], kept: StoredSettings, key: bytes = b"", seed: int = 0
     ) -> None:
         """Acts on what was kept from the start, if anything was."""
         self.now, self.name, self.key, self.rng = now, name, key, random.Random(seed)
         self.orders: deque[Connect | Disconnect | Send | Apply | Keep | Note] = deque()
-        self.kept_state, self.book = kept, kept.book
+        self.kept_state, self.book = kept, kept.store
         self.ahead = Ahead(self.book)
         self.links = Links(self, name, controls, now, self.rng)
         self.on_disk = self.book.version
@@ -112,7 +112,7 @@
         self.mend: Delta | None = None
         self.pieces = 0  # of it that came
         self.repairing = False
-        self.weighed: Weighing | None = None  # of the message that is being received
+        self.weighed: LargeMessage | None = None  # of the message that is being received
         self.bad = 0
         self.retry = RETRY_MS[0]
         self.ask_at = self.keep_at = self.fold_at = float("inf")
@@ -149,12 +149,12 @@
             self.ask_at = float("inf")
         self.links.lost(now, conn)
 
-    def weighing(self, text: bytes | str) -> Weighing | None:
+    def weighing(self, text: bytes | str) -> LargeMessage | None:
         """What may be done beside the loop before a large message is ``received``; None: it is none. Messages behind
         it on its connection have to wait."""
-        return Weighing(text, self.key, self.ahead.view()) if len(text) > LARGE else None
+        return LargeMessage(text, self.key, self.ahead.view()) if len(text) > LARGE_MESSAGE_CHARS else None
 
-    def received(self, now: float, conn: int, text: bytes | str, weighed: Weighing | None = None) -> None:
+    def received(self, now: float, conn: int, text: bytes | str, weighed: LargeMessage | None = None) -> None:
         """``weighed``: what was done with it before."""
         self.now, self.weighed = now, weighed
         link = self.links.link(conn)
@@ -174,7 +174,7 @@
             elif method == "rollout.ask":
                 self._send("rollout.parts", self._state() | {"digests": self.ahead.digests()})
             self.bad = 0
-        except (mail.MailError, ChangeSetError, BookError) as problem:
+        except (mail.MailError, ChangeSetError, ObjectStoreError) as problem:
             self._bad(conn, str(problem))
 
     def applied(self, now: float, version: int) -> None:
@@ -211,7 +211,7 @@
         if not self.disk_why:
             self.orders.append(Note("error", "settings_not_kept", {"why": why[: mail.MOST_TEXT]}))
         self.disk_why = why[: mail.MOST_TEXT]
-        self.kept_state.failed()
+        self.kept_state.write_failed()
         self.keep_at = now + KEEP_MS
         self._say()
 
@@ -228,11 +228,11 @@
         self.links.advance(now)
         if now >= self.keep_at:
             self.keep_at = float("inf")
-            self.orders.append(Keep(self.kept_state.whole(), self.version))
+            self.orders.append(Keep(self.kept_state.rewrite(), self.version))
         if now >= self.fold_at:
             self.fold_at = float("inf")
             # Not while a change is applied: whoever does that may look into the book from beside the loop.
-            if self.ahead.applying is None and self.book.fold():
+            if self.ahead.applying is None and self.book.compact():
                 self.fold_at = now + FOLD_MS
         if not self._watching():
             return
@@ -258,8 +258,8 @@
 
     def _step(self, fields: dict[str, Any]) -> None:
         weighed, self.weighed = self.weighed, None
-        step, delta = (step_of(fields), None) if weighed is None else (weighed.step_read(), weighed.delta)
-        digest = mail.octets(fields, "digest", DIGEST)
+        step, delta = (decode_change_set(fields), None) if weighed is None else (weighed.decoded(), weighed.delta)
+        digest = mail.octets(fields, "digest", DIGEST_BYTES)
         if step.version <= self.ahead.version:
             self.counts["known"] += 1
         elif step.version > self.ahead.version + 1:
@@ -272,7 +272,7 @@
 
     def _mend(self, fields: dict[str, Any]) -> None:
         base, version = mail.whole(fields, "base"), mail.whole(fields, "version")
-        rows, digest = fields.get("rows"), mail.octets(fields, "digest", DIGEST)
+        rows, digest = fields.get("rows"), mail.octets(fields, "digest", DIGEST_BYTES)
         if not isinstance(rows, list):
             raise mail.MailError("rows: an array")
         piece = mail.whole(fields, "piece")
@@ -288,13 +288,13 @@
         try:
             for row in rows:
                 text, held = row
-                sound(text, held)
+                validate_row(text, held)
                 delta.add(text, held)
             for part, marks in of_marks(fields.get("marks")):
                 delta.leave(part, marks)
         except (TypeError, ValueError) as problem:
             self._forget_pieces()
-            raise BookError(f"what differs: {problem}") from None
+            raise ObjectStoreError(f"what differs: {problem}") from None
         if fields.get("more") is True:
             return
         self._forget_pieces()
@@ -389,7 +389,7 @@
         self.orders.append(Send(self.links.main.conn, mail.write(method, fields, self.key)))
 
     def _crowded(self) -> None:
-        if self.book.crowded:
+        if self.book.needs_compaction:
             self.fold_at = min(self.fold_at, self.now + FOLD_MS)
 
     def _apply(self) -> None:
--- a/rushweir/rollout/watching_ahead.py
+++ b/rushweir/rollout/watching_ahead.py
@@ -25,26 +25,26 @@
 from collections.abc import Iterable, Mapping
 from copy import copy
 
-from rushweir.rollout.book import (
-    DIGEST,
-    MARK,
-    MOST_OBJECTS,
-    PARTS,
-    WRAP,
-    Book,
-    BookError,
-    Row,
-    bytes_of,
-    entry,
-    key_of,
-    mark,
-    packed,
-    part_of,
-    weight,
-    whole_digest,
-)  # fmt: skip
 from rushweir.rollout.ceilings import ANYBODY
 from rushweir.rollout.change_sets import Change, ChangeSet, Key
+from rushweir.rollout.object_store import (
+    BUCKET_COUNT,
+    DIGEST_BYTES,
+    DIGEST_MASK,
+    MAX_OBJECTS,
+    OBJECT_DIGEST_BYTES,
+    ObjectStore,
+    ObjectStoreError,
+    Row,
+    bucket_of,
+    content_digest,
+    decode_key,
+    encode_key,
+    encode_object,
+    object_digest,
+    row_bytes,
+    store_digest,
+)  # fmt: skip
 
 MOST_PASSED, MOST_WAYS = 4_096, 8  # objects of which it is kept what they were in between, and how often of each
 Passed = dict[str, tuple[bytes, ...] | None]  # what objects were in between; None: anything
@@ -61,27 +61,29 @@
 
     def add_all(self, rows: Iterable[Row]) -> None:
         """By parts: a look into the book unpacks one."""
-        for text, held in sorted(rows, key=lambda row: part_of(row[0])):
+        for text, held in sorted(rows, key=lambda row: bucket_of(row[0])):
             self.add(text, held)
 
     def add(self, text: str, held: bytes | None) -> None:
         old = self.rows[text] if text in self.rows else self.ahead.held(text)
         if held != old:
-            part = part_of(text)
-            gain = (weight(text, held) if held is not None else 0) - (weight(text, old) if old is not None else 0)
+            part = bucket_of(text)
+            gain = (content_digest(text, held) if held is not None else 0) - (
+                content_digest(text, old) if old is not None else 0
+            )
             self.sums[part] = self.sums.get(part, 0) + gain
             self.count += (held is not None) - (old is not None)
-            self.size += bytes_of(text, held) - bytes_of(text, old)
-        if len(self.rows) > 2 * MOST_OBJECTS:
-            raise BookError(f"more than {2 * MOST_OBJECTS} objects at once")
+            self.size += row_bytes(text, held) - row_bytes(text, old)
+        if len(self.rows) > 2 * MAX_OBJECTS:
+            raise ObjectStoreError(f"more than {2 * MAX_OBJECTS} objects at once")
         self.rows[text] = held
 
     def leave(self, part: int, marks: bytes) -> None:
         """What is not named in a part is gone from it."""
         self.by_names = True
-        left = {marks[at : at + MARK] for at in range(0, len(marks), MARK)}
+        left = {marks[at : at + OBJECT_DIGEST_BYTES] for at in range(0, len(marks), OBJECT_DIGEST_BYTES)}
         for text in self.ahead.names(part):
-            if mark(text) not in left:
+            if object_digest(text) not in left:
                 self.add(text, None)
 
 
@@ -101,20 +103,20 @@
         """What is to be applied, as it differs from the book."""
         if self._changes is None:
             rows = ((t, held) for part in self.parts.values() for t, held in part.items())
-            differ = ((t, held) for t, held in rows if held != self.book.held(t))
-            self._changes = tuple(Change(key_of(t), None if held is None else held[8:]) for t, held in differ)
+            differ = ((t, held) for t, held in rows if held != self.book.get_stored(t))
+            self._changes = tuple(Change(decode_key(t), None if held is None else held[8:]) for t, held in differ)
         return self._changes
 
     @property
     def passed(self) -> dict[Key, tuple[bytes, ...] | None]:
         """Objects that were something else in versions between; None: not known what."""
         known = self._passed.items()
-        return {key_of(t): None if rows is None else tuple(r[8:] for r in rows) for t, rows in known}
+        return {decode_key(t): None if rows is None else tuple(r[8:] for r in rows) for t, rows in known}
 
     @property
     def versions(self) -> dict[Key, int]:
         """The version that changed each object last."""
-        return {key_of(t): int.from_bytes(held[:8], "big") for t, held in self.rows.items() if held is not None}
+        return {decode_key(t): int.from_bytes(held[:8], "big") for t, held in self.rows.items() if held is not None}
 
     def known(self) -> Passed:
         """The same, as a layer has it."""
@@ -126,7 +128,7 @@
         if self._parts is None:
             found: dict[int, dict[str, bytes | None]] = {}
             for text, held in self.rows.items():
-                found.setdefault(part_of(text), {})[text] = held
+                found.setdefault(bucket_of(text), {})[text] = held
             self._parts = found
         return self._parts
 
@@ -134,7 +136,7 @@
 class Ahead:
     """The newest version known, over a book of the one that is acted on."""
 
-    def __init__(self, book: Book) -> None:
+    def __init__(self, book: ObjectStore) -> None:
         self.book, self.version = book, book.version
         self.rows: dict[str, bytes | None] = {}
         self.sums, self.total = list(book.sums), book.total
@@ -149,22 +151,22 @@
             return self.rows[text]
         if self.applying is not None and text in self.applying:
             return self.applying[text]
-        return self.book.held(text)
+        return self.book.get_stored(text)
 
     def names(self, part: int) -> set[str]:
         """Of all objects that a part has."""
-        found = set(self.book.parts[part])
+        found = set(self.book.buckets[part])
         for layer in (self.applying or {}, self.rows):
             for text, held in layer.items():
-                if part_of(text) == part:
+                if bucket_of(text) == part:
                     (found.discard if held is None else found.add)(text)
         return found
 
     def digest(self) -> bytes:
-        return whole_digest(self.version, self.total)
+        return store_digest(self.version, self.total)
 
     def digests(self) -> bytes:
-        return b"".join(s.to_bytes(DIGEST, "big") for s in self.sums)
+        return b"".join(s.to_bytes(DIGEST_BYTES, "big") for s in self.sums)
 
     # --- what comes ------------------------------------------------------------------------------
 
@@ -177,7 +179,9 @@
     def weigh(self, step: ChangeSet) -> Delta:
         """The next step as it changes what is known."""
         delta = Delta(self)
-        delta.add_all((packed(c.key), None if c.data is None else entry(step.version, c.data)) for c in step.changes)
+        delta.add_all(
+            (encode_key(c.key), None if c.data is None else encode_object(step.version, c.data)) for c in step.changes
+        )
         return delta
 
     def step(self, step: ChangeSet, digest: bytes, delta: Delta | None = None) -> bool:
@@ -188,11 +192,11 @@
         return self.take(delta, step.version, digest)
 
     def take(self, delta: Delta, version: int, digest: bytes) -> bool:
-        total = (self.total + sum(delta.sums.values())) & WRAP
-        if whole_digest(version, total) != digest:
+        total = (self.total + sum(delta.sums.values())) & DIGEST_MASK
+        if store_digest(version, total) != digest:
             return False
         for part, gain in delta.sums.items():
-            self.sums[part] = (self.sums[part] + gain) & WRAP
+            self.sums[part] = (self.sums[part] + gain) & DIGEST_MASK
         next_one, skips = (self.version + 1).to_bytes(8, "big"), 0 < self.version < version - 1
         for text, held in delta.rows.items():
             if skips and (held is None or held[:8] > next_one):  # versions of eight bytes sort as their bytes do
@@ -200,7 +204,7 @@
             elif (was := self.rows.get(text)) is not None:
                 self._pass(text, (was,))
         if skips and delta.by_names:  # who came and went between is named nowhere
-            self._pass(packed(("partner", ANYBODY)), None)
+            self._pass(encode_key(("partner", ANYBODY)), None)
         self.rows.update(delta.rows)
         self.version, self.total = version, total
         self.count, self.size, self.taken = self.count + delta.count, self.size + delta.size, self.taken + 1
@@ -241,10 +245,15 @@
 
 
 def of_marks(told: object) -> Iterable[tuple[int, bytes]]:
-    """Raises BookError."""
+    """Raises ObjectStoreError."""
     if not isinstance(told, dict):
-        raise BookError("marks: a map of parts")
+        raise ObjectStoreError("marks: a map of parts")
     for part, marks in told.items():
-        if type(part) is not int or not 0 <= part < PARTS or type(marks) is not bytes or len(marks) % MARK:
-            raise BookError("marks: parts and the names in them")
+        if (
+            type(part) is not int
+            or not 0 <= part < BUCKET_COUNT
+            or type(marks) is not bytes
+            or len(marks) % OBJECT_DIGEST_BYTES
+        ):
+            raise ObjectStoreError("marks: parts and the names in them")
         yield part, marks
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from rushweir.rollout.book import Book
 from rushweir.rollout.change_sets import Change, ChangeSet, Key
-from rushweir.rollout.kept import Kept
-from rushweir.rollout.sending import Sending
-from rushweir.rollout.sending_records import Close, Report
-from rushweir.rollout.sending_records import Send as Sent
+from rushweir.rollout.object_store import ObjectStore
+from rushweir.rollout.stored_settings import StoredSettings
+from rushweir.rollout.watch_session_records import Close, Report
+from rushweir.rollout.watch_session_records import Send as Sent
+from rushweir.rollout.watch_sessions import WatchSessions
 from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
 from rushweir.rollout.watching_links import Connect, Disconnect
 
@@ -19,9 +19,11 @@
 class Ingress:
     """An ingress with a disk that is always there and one who applies, who refuses what he is told to."""
 
-    def __init__(self, scene: Scene, name: str, controls: tuple[str, ...], kept: Kept | None = None) -> None:
+    def __init__(
+        self, scene: Scene, name: str, controls: tuple[str, ...], kept: StoredSettings | None = None
+    ) -> None:
         self.scene, self.name = scene, name
-        self.core = Watching(scene.now, name, controls, kept or Kept(), KEY, seed=len(scene.ingresses))
+        self.core = Watching(scene.now, name, controls, kept or StoredSettings(), KEY, seed=len(scene.ingresses))
         self.refuses: dict[Key, bytes] = {}  # objects that it does not take
         self.applies: list[tuple[int, list[Key]]] = []
         self.notes: list[Note] = []
@@ -65,26 +67,28 @@
 class Scene:
     def __init__(self) -> None:
         self.now = 1_000.0
-        self.controls: dict[str, Sending] = {}
+        self.controls: dict[str, WatchSessions] = {}
         self.ingresses: list[Ingress] = []
         self.serial = 0
         self.sent: list[tuple[str, int, bytes]] = []  # all that control processes sent
         self.closed: list[str] = []
         self.changed = None  # done to each message on its way down
 
-    def control(self, name: str, book: Book | None = None, **given: object) -> Sending:
-        made = self.controls[name] = Sending(self.now, book or Book(), KEY, **given)  # type: ignore[arg-type]
+    def control(self, name: str, book: ObjectStore | None = None, **given: object) -> WatchSessions:
+        made = self.controls[name] = WatchSessions(self.now, book or ObjectStore(), KEY, **given)  # type: ignore[arg-type]
         made.set_current(self.now, True)
         return made
 
-    def ingress(self, name: str = "a", controls: tuple[str, ...] = ("c",), kept: Kept | None = None) -> Ingress:
+    def ingress(
+        self, name: str = "a", controls: tuple[str, ...] = ("c",), kept: StoredSettings | None = None
+    ) -> Ingress:
         made = Ingress(self, name, controls, kept)
         self.ingresses.append(made)
         return made
 
     def commit(self, *changes: tuple[str, bytes | None], controls: tuple[str, ...] | None = None) -> int:
         """A step of partners, at all control processes or some."""
-        number = max(s.book.version for s in self.controls.values()) + 1
+        number = max(s.store.version for s in self.controls.values()) + 1
         step = ChangeSet(number, tuple(Change(("partner", name), data) for name, data in changes))
         for name, sending in self.controls.items():
             if controls is None or name in controls:
@@ -143,13 +147,13 @@
                 busy |= bool(i.core.orders)
                 i.carry_out()
             for name, sending in list(self.controls.items()):
-                while sending.orders:
+                while sending.commands:
                     busy = True
-                    order = sending.orders.popleft()
+                    order = sending.commands.popleft()
                     if isinstance(order, Report):
                         for other in self.controls.values():
                             if other is not sending:
-                                other.take_report(self.now, order.told)
+                                other.take_report(self.now, order.report)
                         continue
                     if isinstance(order, Sent):
                         self.sent.append((name, order.conn, order.data))
--- a/tests/rollout/test_ceilings_newcomer.py
+++ b/tests/rollout/test_ceilings_newcomer.py
@@ -16,10 +16,10 @@
 from rushweir.config import live
 from rushweir.daemon.reloading import Reloading
 from rushweir.ingress.core import Core
-from rushweir.rollout.book import PARTS, Book
 from rushweir.rollout.ceilings import ANYBODY, CLOSED, MOST_BETWEEN, NOBODY, Between
 from rushweir.rollout.change_sets import Change, ChangeSet
-from rushweir.rollout.packed import PackedBook
+from rushweir.rollout.object_store import BUCKET_COUNT, ObjectStore
+from rushweir.rollout.packed_object_store import PackedObjectStore
 from rushweir.rollout.watching_ahead import Ahead, Delta
 from tests.rollout.test_ceilings import BASE, World, over, partner, plan
 from tests.rollout.test_ceilings import COUNT as DOORS
@@ -32,12 +32,12 @@
 class Coming(Ingress):
     """An ingress that may lose all that it has. ``path``: of its own settings."""
 
-    def __init__(self, me: int, truth: Book, path: Path) -> None:
+    def __init__(self, me: int, truth: ObjectStore, path: Path) -> None:
         super().__init__(me, truth)
         self.path, self.least, self.serves = path, 0, True
 
-    def anew(self, truth: Book, least: int) -> None:
-        self.serves, self.least, self.ahead = False, least, Ahead(PackedBook())
+    def anew(self, truth: ObjectStore, least: int) -> None:
+        self.serves, self.least, self.ahead = False, least, Ahead(PackedObjectStore())
         self.difference(truth)
 
     def apply(self, good: bool) -> None:
@@ -75,8 +75,8 @@
 
 def play(events: list, folder: Path) -> tuple[list[float], list[Coming]]:
     """What all spend together after each event."""
-    truth, first = Book(), ChangeSet(1, tuple(FIRST))
-    truth.take(first)
+    truth, first = ObjectStore(), ChangeSet(1, tuple(FIRST))
+    truth.apply(first)
     log, digests, least, sums = [first], [truth.digest()], 1, []
     ingresses = [Coming(k, truth, folder / f"{k}.conf") for k in range(COUNT)]
     for what, which in events:
@@ -85,7 +85,7 @@
             if which is None and truth.get(("partner", "a")) is None:
                 continue
             log.append(ChangeSet(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
-            truth.take(log[-1])
+            truth.apply(log[-1])
             digests.append(truth.digest())
             continue
         x = ingresses[which]
@@ -152,10 +152,10 @@
     between = ingresses[2].config.between
     assert between.customers == dict.fromkeys((ANYBODY, "a", "b"), (2, (NOBODY,))) and between.everywhere == 1
     assert Between.load(between.dump()) == between
-    book = Book()
-    book.take(ChangeSet(1, (partner("old", "tin"),)))
-    book.take(ChangeSet(2, (partner("new", "tin"),)))
-    ahead = Ahead(PackedBook())
+    book = ObjectStore()
+    book.apply(ChangeSet(1, (partner("old", "tin"),)))
+    book.apply(ChangeSet(2, (partner("new", "tin"),)))
+    ahead = Ahead(PackedObjectStore())
     delta = Delta(ahead)
     delta.add_all(book.since(0) or ())
     assert ahead.take(delta, 2, book.digest())
@@ -240,17 +240,17 @@
 
 def test_who_came_and_went_unnamed_counts_as_anybody(tmp_path) -> None:
     """Beyond the tombstones a difference names what is left, not what went: that may have come meanwhile too."""
-    truth, first = Book(), ChangeSet(1, tuple(FIRST))
-    truth.take(first)
+    truth, first = ObjectStore(), ChangeSet(1, tuple(FIRST))
+    truth.apply(first)
     both = [Coming(0, truth, tmp_path / "own.conf") for _ in range(2)]
-    truth.take(ChangeSet(2, (partner("new", "tin", 1, 1),)))
-    truth.take(ChangeSet(3, (Change(("partner", "new"), None),)))
-    truth.take(ChangeSet(4, (Change(("partner", "b"), None),)))
+    truth.apply(ChangeSet(2, (partner("new", "tin", 1, 1),)))
+    truth.apply(ChangeSet(3, (Change(("partner", "new"), None),)))
+    truth.apply(ChangeSet(4, (Change(("partner", "b"), None),)))
     for named, x in zip((False, True), both, strict=True):
         delta = Delta(x.ahead)
         if named:
-            for part in range(PARTS):
-                delta.leave(part, truth.marks(part))
+            for part in range(BUCKET_COUNT):
+                delta.leave(part, truth.object_digests(part))
         else:  # as tombstones tell it
             delta.add_all(truth.since(1) or ())
         assert x.ahead.take(delta, 4, truth.digest())
--- a/tests/rollout/test_ceilings_skipped.py
+++ b/tests/rollout/test_ceilings_skipped.py
@@ -10,10 +10,10 @@
 
 from rushweir.config import Config, live, load_text
 from rushweir.rollout import watching_ahead
-from rushweir.rollout.book import Book, entry, packed
 from rushweir.rollout.ceilings import CLOSED, NOBODY, Between, among, share
 from rushweir.rollout.change_sets import Change, ChangeSet
-from rushweir.rollout.packed import PackedBook
+from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
+from rushweir.rollout.packed_object_store import PackedObjectStore
 from rushweir.rollout.watching_ahead import Ahead, Delta
 from tests.rollout.test_ceilings import BASE, World, block, over, partner, plan
 
@@ -25,18 +25,18 @@
 class Ingress:
     """What came, what is acted on, and what is in between; nothing of a request."""
 
-    def __init__(self, me: int, truth: Book) -> None:
+    def __init__(self, me: int, truth: ObjectStore) -> None:
         text = BASE.format(me=me, count=COUNT) + "".join(map(block, FIRST))
         self.me, self.config = me, load_text(text, "x", Path("."))
-        book = PackedBook()
-        book.put([row for part in truth.parts for row in part.items()], truth.version)
+        book = PackedObjectStore()
+        book.put([row for part in truth.buckets for row in part.items()], truth.version)
         self.ahead = Ahead(book)
 
     def step(self, log: list[ChangeSet], digests: list[bytes]) -> None:
         if self.ahead.version < len(log):
             assert self.ahead.step(log[self.ahead.version], digests[self.ahead.version])
 
-    def difference(self, truth: Book) -> None:
+    def difference(self, truth: ObjectStore) -> None:
         if self.ahead.version < truth.version:
             delta = Delta(self.ahead)
             rows = truth.since(self.ahead.version)
@@ -90,8 +90,8 @@
 
 def play(events: list) -> list[float]:
     """What all spend together after each event."""
-    truth = Book()
-    truth.take(ChangeSet(1, tuple(FIRST)))
+    truth = ObjectStore()
+    truth.apply(ChangeSet(1, tuple(FIRST)))
     log, digests = [ChangeSet(1, tuple(FIRST))], [truth.digest()]
     ingresses = [Ingress(k, truth) for k in range(COUNT)]
     sums = []
@@ -102,7 +102,7 @@
                 continue
             # A second object, so that each version differs.
             log.append(ChangeSet(len(log) + 1, (change, partner("b", "tin", len(log) % COUNT, 1))))
-            truth.take(log[-1])
+            truth.apply(log[-1])
             digests.append(truth.digest())
             continue
         i = ingresses[which]
@@ -196,11 +196,11 @@
 def test_what_passed_is_bounded_and_beyond_the_bound_it_is_not_known(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watching_ahead, "MOST_PASSED", 2)
     monkeypatch.setattr(watching_ahead, "MOST_WAYS", 3)
-    truth, ahead = Book(), Ahead(Book())
+    truth, ahead = ObjectStore(), Ahead(ObjectStore())
     names = ("p", "q", "r")
     for n in range(1, 7):
         changes = tuple(Change(("partner", name), b"%d" % n) for name in (names if n < 3 else names[:1]))
-        truth.take(ChangeSet(n, changes))
+        truth.apply(ChangeSet(n, changes))
         assert ahead.step(ChangeSet(n, changes), truth.digest())
         frozen = watching_ahead.Frozen(ahead, ahead.rows)
         assert len(frozen.passed) <= 3
@@ -208,12 +208,14 @@
 
 
 def test_of_a_difference_only_what_may_have_been_something_else_is_not_known() -> None:
-    book = Book()
-    book.put([(packed(("partner", name)), entry(4, b"x")) for name in "pqr"], 5)
+    book = ObjectStore()
+    book.put([(encode_key(("partner", name)), encode_object(4, b"x")) for name in "pqr"], 5)
     ahead, truth = Ahead(book), book.copy()
     delta = Delta(ahead)
-    rows = [(packed(("partner", "p")), entry(6, b"y")), (packed(("partner", "q")), entry(8, b"y")),
-            (packed(("partner", "r")), None), (packed(("partner", "new")), entry(7, b"y"))]  # fmt: skip
+    rows = [(encode_key(("partner", "p")), encode_object(6, b"y")),
+            (encode_key(("partner", "q")), encode_object(8, b"y")),
+            (encode_key(("partner", "r")), None),
+            (encode_key(("partner", "new")), encode_object(7, b"y"))]  # fmt: skip
     truth.put(rows, 9)
     delta.add_all(rows)
     assert ahead.take(delta, 9, truth.digest())
--- a/tests/rollout/test_control_watch.py
+++ b/tests/rollout/test_control_watch.py
@@ -23,32 +23,32 @@
     """Sends each watcher the committed versions, and closes the connection of one that sends ``bad``."""
 
     def __init__(self):
-        self.orders, self.calls, self.conns, self.current = deque(), [], set(), None
+        self.commands, self.calls, self.conns, self.current = deque(), [], set(), None
         self.called = asyncio.Event()
 
     def _record(self, *call):
         self.calls.append(call)
         self.called.set()
 
-    def jumped(self, now, number, objects):
-        self._record("jumped", number, objects)
+    def snapshot_installed(self, now, number, objects):
+        self._record("snapshot_installed", number, objects)
 
     def committed(self, now, change_set):
         self._record("committed", change_set.version)
-        self.orders.extend(SimpleNamespace(conn=conn, data=b"%d" % change_set.version) for conn in self.conns)
-        self.orders.append(SimpleNamespace(told={"at": change_set.version}))
+        self.commands.extend(SimpleNamespace(conn=conn, data=b"%d" % change_set.version) for conn in self.conns)
+        self.commands.append(SimpleNamespace(report={"at": change_set.version}))
 
     def set_current(self, now, current):
         self.current = current
 
     def opened(self, now, conn):
         self.conns.add(conn)
-        self.orders.append(SimpleNamespace(conn=conn, data=b"hello"))
+        self.commands.append(SimpleNamespace(conn=conn, data=b"hello"))
 
     def received(self, now, conn, text):
         self._record("received", bytes(text))
         if text == b"bad":
-            self.orders.append(SimpleNamespace(conn=conn, why="malformed"))
+            self.commands.append(SimpleNamespace(conn=conn, why="malformed"))
 
     def set_writable(self, now, conn, writable):
         self._record("writable", writable)
@@ -123,7 +123,7 @@
     async def after_restart(process, stub, url):
         assert (await propose(process, 2)).version == 2
         # What its disk says is committed; if it ended before that was written, what it commits after the start.
-        assert stub.calls[0] in (("jumped", 1, {("partner", "p"): (1, b"1")}), ("committed", 1))
+        assert stub.calls[0] in (("snapshot_installed", 1, {("partner", "p"): (1, b"1")}), ("committed", 1))
         await stub.wait_for("committed", 2)
 
     asyncio.run(run_process(tmp_path, after_restart))
--- a/tests/rollout/test_weighing.py
+++ b/tests/rollout/test_large_messages.py
@@ -13,16 +13,16 @@
 from hypothesis import strategies as st
 
 from rushweir.daemon.beside import GIVING_WAY_S, SWITCH_S, beside, giving_way
-from rushweir.rollout import packed as p
+from rushweir.rollout import packed_object_store as p
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout import watching_ahead as ahead_module
-from rushweir.rollout.book import Book, entry, packed
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
-from rushweir.rollout.kept import Kept
-from rushweir.rollout.packed import PackedBook
+from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage
+from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
+from rushweir.rollout.packed_object_store import PackedObjectStore
+from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watching import Apply, Watching
 from rushweir.rollout.watching_ahead import Ahead
-from rushweir.rollout.weighing import LARGE, Weighing
 from tests.rollout.conftest import KEY, Scene
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
@@ -36,9 +36,9 @@
 @given(st.lists(st.tuples(CHANGES, DO, DO), max_size=10))
 def test_what_is_weighed_on_a_view_is_what_it_changes(log: list) -> None:
     """Whatever happens between the view and what comes of it; and all that is counted stays true."""
-    before, p.LOOSE = p.LOOSE, 0
+    before, p.MAX_UNPACKED_ROWS = p.MAX_UNPACKED_ROWS, 0
     try:
-        truth, book = Book(), PackedBook()
+        truth, book = ObjectStore(), PackedObjectStore()
         ahead = Ahead(book)
 
         def act(what: str) -> None:
@@ -51,26 +51,26 @@
                 assert at == {key: data for key, _, data in truth.objects()}
             elif what == "applied" and ahead.applying is not None:
                 ahead.applied()
-                plain = Book()
-                plain.put([row for part in book.parts for row in part.items()], book.version)
+                plain = ObjectStore()
+                plain.put([row for part in book.buckets for row in part.items()], book.version)
                 assert (book.digest(), book.count, book.size) == (plain.digest(), plain.count, plain.size)
             elif what == "refused" and ahead.applying is not None:
                 ahead.refused()
             elif what == "fold" and ahead.applying is None:
-                book.fold()
+                book.compact()
 
         for number, (changes, then, after) in enumerate(log, 1):
             step = ChangeSet(number, tuple(changes))
             view = ahead.view()
             act(then)
             delta = view.weigh(step)
-            truth.take(step)
+            truth.apply(step)
             assert ahead.step(step, truth.digest(), delta)
             assert (ahead.digest(), ahead.digests()) == (truth.digest(), truth.digests())
             assert (ahead.count, ahead.size) == (truth.count, truth.size)
             act(after)
     finally:
-        p.LOOSE = before
+        p.MAX_UNPACKED_ROWS = before
 
 
 def step_mail(step: ChangeSet, digest: bytes) -> bytes:
@@ -82,7 +82,7 @@
     return ChangeSet(number, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
 
 
-def watching() -> tuple[Watching, int, Book]:
+def watching() -> tuple[Watching, int, ObjectStore]:
     """Connected, with version 1 that it acts on; and a book as the control process has it."""
     s = Scene()
     c = s.control("c")
@@ -91,18 +91,18 @@
     s.run(1_000)
     assert i.core.version == 1
     assert i.core.links.main is not None
-    return i.core, i.core.links.main.conn, c.book.copy()
+    return i.core, i.core.links.main.conn, c.store.copy()
 
 
 def test_a_large_message_may_be_weighed_before_and_a_small_one_is_not() -> None:
     core, conn, book = watching()
     step = large(2)
-    book.take(step)
+    book.apply(step)
     text = step_mail(step, book.digest())
-    assert core.weighing(b"x" * LARGE) is None
+    assert core.weighing(b"x" * LARGE_MESSAGE_CHARS) is None
     work = core.weighing(text)
     assert work is not None
-    work.run()
+    work.prepare()
     core.received(core.now, conn, text, work)
     assert core.ahead.digest() == book.digest()
     (order,) = [o for o in core.orders if isinstance(o, Apply)]
@@ -119,43 +119,43 @@
     )
     texts = []
     for step in (first, second):
-        book.take(step)
+        book.apply(step)
         texts.append(step_mail(step, book.digest()))
     one, two = core.weighing(texts[0]), core.weighing(texts[1])  # both beside version 1
     assert one is not None
     assert two is not None
-    one.run()
-    two.run()
+    one.prepare()
+    two.prepare()
     assert weighed == [2]  # the other is no next step there
     core.received(core.now, conn, texts[0], one)
     assert weighed == [2]
     core.received(core.now, conn, texts[1], two)
     assert weighed == [2, 3]
     assert core.ahead.digest() == book.digest()
-    stale = Weighing(texts[1], KEY, core.ahead.view())
-    stale.run()
+    stale = LargeMessage(texts[1], KEY, core.ahead.view())
+    stale.prepare()
     core.received(core.now, conn, texts[1], stale)
     assert core.counts["known"] == 1
 
 
 def test_what_was_weighed_beside_objects_that_were_mended_meanwhile_is_weighed_again() -> None:
-    truth, book = Book(), PackedBook()
-    truth.put([(packed(("plan", "a")), entry(1, b"right"))], 1)
-    book.put([(packed(("plan", "a")), entry(1, b"altered"))], 1)
+    truth, book = ObjectStore(), PackedObjectStore()
+    truth.put([(encode_key(("plan", "a")), encode_object(1, b"right"))], 1)
+    book.put([(encode_key(("plan", "a")), encode_object(1, b"altered"))], 1)
     ahead = Ahead(book)
     step = ChangeSet(2, (Change(("plan", "a"), b"new"),))
     delta = ahead.view().weigh(step)
     mend = ahead_module.Delta(ahead)
-    mend.add(packed(("plan", "a")), entry(1, b"right"))
+    mend.add(encode_key(("plan", "a")), encode_object(1, b"right"))
     assert ahead.take(mend, 1, truth.digest())
-    truth.take(step)
+    truth.apply(step)
     assert ahead.step(step, truth.digest(), delta)
 
 
 def test_a_large_message_that_is_altered_or_no_step_is_refused_as_a_small_one_is() -> None:
     core, conn, book = watching()
     step = large(2)
-    book.take(step)
+    book.apply(step)
     good = step_mail(step, book.digest())
     noise = b"".join(sha256(b"%d" % n).digest() for n in range(900))
     bad = [
@@ -166,33 +166,33 @@
     for n, text in enumerate(bad, 1):
         work = core.weighing(text)
         assert work is not None
-        work.run()
+        work.prepare()
         core.received(core.now, conn, text, work)
         assert (core.counts["bad_messages"], core.ahead.version) == (n, 1)
     work = core.weighing(good)
     assert work is not None
-    work.run()
+    work.prepare()
     core.received(core.now, conn, good, work)
     assert core.ahead.version == 2
 
 
 def test_a_step_is_weighed_with_one_look_into_each_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = Kept()
-    kept.book.put([(packed(("partner", str(n))), entry(1, b"x" * 60)) for n in range(4_000)], 1)
-    for part in kept.book.parts:
+    kept = StoredSettings()
+    kept.store.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 60)) for n in range(4_000)], 1)
+    for part in kept.store.buckets:
         part.pack()  # type: ignore[attr-defined]
     looks: list[int] = []
     real = p.decompress
     monkeypatch.setattr(p, "decompress", lambda piece: (looks.append(1), real(piece))[1])
-    ahead = Ahead(kept.book)
+    ahead = Ahead(kept.store)
     step = large(2, 4_000)
     delta = ahead.weigh(step)
     assert len(looks) <= 256
     ahead.take(delta, 2, b"")  # another digest: nothing is taken
     assert ahead.version == 1
-    right = Book()
-    right.put([row for part in kept.book.parts for row in part.items()], 1)
-    right.take(step)
+    right = ObjectStore()
+    right.put([row for part in kept.store.buckets for row in part.items()], 1)
+    right.apply(step)
     looks.clear()
     assert ahead.step(step, right.digest(), delta)
     frozen = ahead.freeze()
@@ -201,7 +201,7 @@
     looks.clear()
     ahead.applied()
     assert looks == []  # what the loop has to do with it is no more than to lay it above
-    assert kept.book.digest() == right.digest()
+    assert kept.store.digest() == right.digest()
 
 
 def test_work_beside_the_loop_gives_way_until_the_last_of_it_is_done() -> None:
--- a/tests/rollout/test_packed.py
+++ b/tests/rollout/test_packed_object_store.py
@@ -14,14 +14,14 @@
 
 from rushweir.config import live
 from rushweir.daemon.rollout_files import Files, Objects
-from rushweir.rollout import kept as k
-from rushweir.rollout import packed as p
-from rushweir.rollout.book import Book, entry, packed, part_of
+from rushweir.rollout import packed_object_store as p
+from rushweir.rollout import stored_settings as k
 from rushweir.rollout.change_sets import Change, ChangeSet
-from rushweir.rollout.kept import Kept
-from rushweir.rollout.packed import PackedBook
+from rushweir.rollout.object_store import ObjectStore, bucket_of, encode_key, encode_object
+from rushweir.rollout.packed_object_store import PackedObjectStore
+from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watching import FOLD_MS, Watching
-from tests.rollout.test_book import parted
+from tests.rollout.test_object_store import parted
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
 CHANGES = st.lists(
@@ -47,95 +47,97 @@
 @pytest.fixture
 def tight(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing may lie loose, so that small books are packed."""
-    monkeypatch.setattr(p, "LOOSE", 0)
+    monkeypatch.setattr(p, "MAX_UNPACKED_ROWS", 0)
 
 
-def all_of(book: Book) -> tuple:
+def all_of(book: ObjectStore) -> tuple:
     rows = sorted(book.objects())
-    names = [sorted(part) for part in book.parts]
-    marks = [sorted(book.marks(n)) for n in range(len(names))]
-    told = (book.version, book.count, book.size, book.floor, book.gone, book.digest(), book.digests())
+    names = [sorted(part) for part in book.buckets]
+    marks = [sorted(book.object_digests(n)) for n in range(len(names))]
+    told = (book.version, book.count, book.size, book.tombstone_floor, book.tombstones, book.digest(), book.digests())
     return rows, names, marks, told, [book.get(key) for key, _, _ in rows]
 
 
 @settings(deadline=None, max_examples=60)
 @given(st.lists(st.tuples(CHANGES, st.sampled_from(["", "fold", "pack", "load", "copy", "merge"])), max_size=10))
 def test_a_packed_book_is_what_a_book_is(log: list) -> None:
-    before, p.LOOSE = p.LOOSE, 0
+    before, p.MAX_UNPACKED_ROWS = p.MAX_UNPACKED_ROWS, 0
     try:
-        plain, small = Book(), PackedBook()
+        plain, small = ObjectStore(), PackedObjectStore()
         for number, (changes, then) in enumerate(log, 1):
             step = ChangeSet(number, tuple(changes))
-            plain.take(step)
+            plain.apply(step)
             if then == "merge":
                 rows = plain.since(small.version)
                 if rows is not None:
                     small.merge(parted(rows), plain.version, plain.sums, plain.count, plain.size)
-                    plain.leap(number)  # so does the other; tombstones are not what is compared
+                    plain.skip_to(number)  # so does the other; tombstones are not what is compared
             else:
-                small.take(step)
+                small.apply(step)
             if then == "fold":
-                while small.fold():
+                while small.compact():
                     pass
-                assert small.loose == 0
+                assert small.unpacked == 0
             elif then == "pack":
-                for part in small.parts:
+                for part in small.buckets:
                     part.pack()  # type: ignore[attr-defined]
             elif then == "load":
-                small = PackedBook.load(small.dump(), {packed(c.key) for c in changes})
+                small = PackedObjectStore.load(small.dump(), {encode_key(c.key) for c in changes})
             elif then == "copy":
                 small = small.copy()
             assert all_of(small) == all_of(plain)
-            assert all(bool(a) == bool(b) for a, b in zip(small.parts, plain.parts, strict=True))
-            assert all_of(Book.load(small.dump())) == all_of(plain)
+            assert all(bool(a) == bool(b) for a, b in zip(small.buckets, plain.buckets, strict=True))
+            assert all_of(ObjectStore.load(small.dump())) == all_of(plain)
     finally:
-        p.LOOSE = before
+        p.MAX_UNPACKED_ROWS = before
 
 
 @pytest.mark.usefixtures("tight")
 def test_a_copy_does_not_change_with_the_book() -> None:
-    book = PackedBook()
-    book.put([(packed(("plan", str(n))), entry(1, b"1")) for n in range(40)], 1)
-    while book.fold():
+    book = PackedObjectStore()
+    book.put([(encode_key(("plan", str(n))), encode_object(1, b"1")) for n in range(40)], 1)
+    while book.compact():
         pass
     other = book.copy()
     before = all_of(other)
-    book.take(ChangeSet(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
+    book.apply(ChangeSet(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
     assert all_of(other) == before != all_of(book)
 
 
 def test_few_changes_stay_loose_and_many_are_packed_a_few_parts_at_a_time() -> None:
-    book = PackedBook()
-    book.put([(packed(("partner", str(n))), entry(1, b"x" * 50)) for n in range(p.LOOSE)], 1)
-    assert not book.fold()
-    assert all(not part.piece for part in book.parts)  # type: ignore[attr-defined]
-    book.put([(packed(("partner", str(n))), entry(2, b"y" * 50)) for n in range(4 * p.LOOSE)], 2)
+    book = PackedObjectStore()
+    book.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(p.MAX_UNPACKED_ROWS)], 1)
+    assert not book.compact()
+    assert all(not part.page for part in book.buckets)  # type: ignore[attr-defined]
+    book.put(
+        [(encode_key(("partner", str(n))), encode_object(2, b"y" * 50)) for n in range(4 * p.MAX_UNPACKED_ROWS)], 2
+    )
     turns = 0
     while True:
-        before = sum(bool(part.piece) for part in book.parts)  # type: ignore[attr-defined]
-        more = book.fold()
+        before = sum(bool(part.page) for part in book.buckets)  # type: ignore[attr-defined]
+        more = book.compact()
         turns += 1
-        assert sum(bool(part.piece) for part in book.parts) - before <= p.FOLD  # type: ignore[attr-defined]
+        assert sum(bool(part.page) for part in book.buckets) - before <= p.BUCKETS_PER_COMPACTION  # type: ignore[attr-defined]
         if not more:
             break
-    assert book.loose <= p.LOOSE
+    assert book.unpacked <= p.MAX_UNPACKED_ROWS
     assert 10 < turns <= 64
-    assert not book.fold()
+    assert not book.compact()
 
 
 def test_a_log_of_changes_all_over_is_taken_without_a_look_for_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = Kept()
-    kept.book.put([(packed(("partner", str(n))), entry(1, b"x" * 50)) for n in range(4_000)], 1)
-    book, log = kept.whole().book.dump(), k.MAGIC
+    kept = StoredSettings()
+    kept.store.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(4_000)], 1)
+    book, log = kept.rewrite().store.dump(), k.MAGIC
     for n in range(2_000):
-        rows = [(packed(("partner", str(n * 7 % 4_000))), entry(2 + n, b"y" * 50))]
-        kept.book.put(rows, 2 + n)
-        log += k.record(["rows", 1 + n, 2 + n, rows, kept.book.digest()])
+        rows = [(encode_key(("partner", str(n * 7 % 4_000))), encode_object(2 + n, b"y" * 50))]
+        kept.store.put(rows, 2 + n)
+        log += k.encode_record(["rows", 1 + n, 2 + n, rows, kept.store.digest()])
     looks = []
     real = p.decompress
     monkeypatch.setattr(p, "decompress", lambda piece: (looks.append(1), real(piece))[1])
     back, wrong, _ = k.load(book, log)
-    assert (back.book.digest(), wrong) == (kept.book.digest(), [])
+    assert (back.store.digest(), wrong) == (kept.store.digest(), [])
     assert len(looks) <= 256
 
 
@@ -154,8 +156,8 @@
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     """A machine that kept OBJECTS partners."""
-    book = Book()
-    book.put([(packed(key), entry(1 + len(data) % 3, data)) for key, data in rows()], 3)
+    book = ObjectStore()
+    book.put([(encode_key(key), encode_object(1 + len(data) % 3, data)) for key, data in rows()], 3)
     (tmp_path / "run").mkdir()
     (tmp_path / "run" / "rollout.book").write_bytes(book.dump())
     (tmp_path / "run" / "rollout.log").write_bytes(k.MAGIC)
@@ -173,12 +175,12 @@
         kept, wrong = Files(folder / "run").load()
         gc.collect()
         book = tracemalloc.get_traced_memory()[0]
-        config = live.assemble(folder / "one.conf", Objects(kept.book), 3)
+        config = live.assemble(folder / "one.conf", Objects(kept.store), 3)
         gc.collect()
         both, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert (wrong, kept.book.count, len(config.file.partners)) == ([], OBJECTS + 21, OBJECTS)
+    assert (wrong, kept.store.count, len(config.file.partners)) == ([], OBJECTS + 21, OBJECTS)
     assert book < 100 * OBJECTS  # 77 of them measured, with 1,002 rows that lay loose; a plain book 237
     assert both - book < 340 * OBJECTS  # 280
     assert peak - both < 80 * OBJECTS  # 31; with a list of all 319
@@ -188,26 +190,28 @@
     """What a look unpacks is one part."""
     counts = [0] * 256
     for key, _ in rows(25_300):
-        counts[part_of(packed(key))] += 1
+        counts[bucket_of(encode_key(key))] += 1
     assert max(counts) < 2 * 25_300 / 256
 
 
 def test_a_watcher_packs_what_lies_loose_between_its_other_work_and_not_while_it_applies() -> None:
-    kept = Kept()
-    kept.book.put([(packed(("partner", str(n))), entry(1, b"x" * 50)) for n in range(3 * p.LOOSE)], 1)
-    digest = kept.book.digest()
+    kept = StoredSettings()
+    kept.store.put(
+        [(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(3 * p.MAX_UNPACKED_ROWS)], 1
+    )
+    digest = kept.store.digest()
     core = Watching(0.0, "i", ("c",), kept)
     core.ahead.freeze()
     core.advance(FOLD_MS)
-    assert not any(part.piece for part in kept.book.parts)  # type: ignore[attr-defined]
+    assert not any(part.page for part in kept.store.buckets)  # type: ignore[attr-defined]
     core.refused(2 * FOLD_MS, 1, ("", ""), "", "")
     now, turns = 2 * FOLD_MS, 0
-    while kept.book.crowded:
+    while kept.store.needs_compaction:
         now += FOLD_MS
         assert core.next_at() <= now
-        before = sum(bool(part.piece) for part in kept.book.parts)  # type: ignore[attr-defined]
+        before = sum(bool(part.page) for part in kept.store.buckets)  # type: ignore[attr-defined]
         core.advance(now)
-        assert sum(bool(part.piece) for part in kept.book.parts) - before <= p.FOLD  # type: ignore[attr-defined]
+        assert sum(bool(part.page) for part in kept.store.buckets) - before <= p.BUCKETS_PER_COMPACTION  # type: ignore[attr-defined]
         turns += 1
     assert turns > 10
-    assert kept.book.digest() == digest
+    assert kept.store.digest() == digest
--- a/tests/rollout/test_sending.py
+++ b/tests/rollout/test_watch_sessions.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from rushweir.rollout import book as b
-from rushweir.rollout import sending, sending_records
+from rushweir.rollout import object_store as b
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_session_records, watch_sessions
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, ChangeSet
-from rushweir.rollout.kept import Kept
-from rushweir.rollout.sending_records import Rates
+from rushweir.rollout.stored_settings import StoredSettings
+from rushweir.rollout.watch_session_records import Rates
 from tests.rollout.conftest import KEY, Scene
 
 
@@ -29,8 +29,8 @@
         scene.commit(*((f"p{n}", data(n)) for n in range(s * each, s * each + each)))
 
 
-def kept_of(scene: Scene) -> Kept:
-    return Kept(scene.controls["c"].book.copy())
+def kept_of(scene: Scene) -> StoredSettings:
+    return StoredSettings(scene.controls["c"].store.copy())
 
 
 def test_a_change_is_one_small_message_whatever_the_size_of_the_settings(scene: Scene) -> None:
@@ -64,7 +64,7 @@
 
 
 def test_beyond_the_recent_steps_only_what_differs_is_sent(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sending, "MOST_RECENT", 10)
+    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 10)
     c = scene.control("c")
     filled(scene, 2_000)
     kept = kept_of(scene)
@@ -74,7 +74,7 @@
     i = scene.ingress(kept=kept)
     scene.run(1_000)
     assert methods(scene) == ["rollout.ask", "rollout.mend"]
-    assert (i.core.version, i.core.ahead.digest()) == (41, c.book.digest())
+    assert (i.core.version, i.core.ahead.digest()) == (41, c.store.digest())
     assert c.counts["wholes"] == 0
     told = mail.read(scene.sent[-1][2], KEY)[1] if mail.read(scene.sent[-1][2], KEY)[0] == "rollout.mend" else None
     told = told or next(f for _, _, d in scene.sent for m, f in [mail.read(d, KEY)] if m == "rollout.mend")
@@ -82,8 +82,8 @@
 
 
 def test_what_is_gone_is_found_without_tombstones_too(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sending, "MOST_RECENT", 2)
-    monkeypatch.setattr(b, "MOST_GONE", 3)
+    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 2)
+    monkeypatch.setattr(b, "MAX_TOMBSTONES", 3)
     c = scene.control("c")
     filled(scene, 300)
     kept = kept_of(scene)
@@ -91,8 +91,8 @@
         scene.commit((f"p{n}", None))
     i = scene.ingress(kept=kept)
     scene.run(1_000)
-    assert c.book.dropped(1) is None
-    assert (i.core.version, i.core.ahead.digest()) == (21, c.book.digest())
+    assert c.store.deleted_since(1) is None
+    assert (i.core.version, i.core.ahead.digest()) == (21, c.store.digest())
     assert (c.counts["wholes"], i.core.book.count) == (0, 280)
 
 
@@ -105,17 +105,17 @@
     i = scene.ingress(kept=kept)
     scene.run(1_000)
     assert methods(scene) == ["rollout.ask", "rollout.mend"]
-    assert i.core.version == c.book.version
+    assert i.core.version == c.store.version
 
 
 def test_altered_objects_of_the_right_version_are_sent_again_and_nothing_else(scene: Scene) -> None:
     c = scene.control("c")
     filled(scene, 2_000)
     kept = kept_of(scene)
-    kept.book.put([(b.packed(("partner", "p7")), b.entry(1, b"altered"))], 1)
+    kept.store.put([(b.encode_key(("partner", "p7")), b.encode_object(1, b"altered"))], 1)
     i = scene.ingress(kept=kept)
     scene.run(2_000)
-    assert i.core.ahead.digest() == i.core.book.digest() == c.book.digest()
+    assert i.core.ahead.digest() == i.core.book.digest() == c.store.digest()
     assert i.core.book.get(("partner", "p7")) == data(7)
     assert c.counts["wholes"] == 0
 
@@ -142,7 +142,7 @@
     assert i.core.version == 0 and i.core.mend is not None
     scene.commit(("p1", b"new"))
     scene.run(150_000)
-    assert (i.core.version, i.core.ahead.digest()) == (5, c.book.digest())
+    assert (i.core.version, i.core.ahead.digest()) == (5, c.store.digest())
     assert c.counts["wholes"] == 1
     assert methods(scene).count("rollout.mend") > 5
 
@@ -166,7 +166,7 @@
     filled(scene, 400)
     kept = kept_of(scene)
     for k in range(20):
-        scene.ingress(f"i{k}", kept=Kept(kept.book.copy()))
+        scene.ingress(f"i{k}", kept=StoredSettings(kept.store.copy()))
     new = scene.ingress("new")
     for n in range(600):  # three times as many bytes as may go
         scene.commit((f"p{n % 10}", b"%d" % n * 30))
@@ -190,10 +190,10 @@
             scene.commit((f"p{second}", b"new"))
         scene.run(1_000)
         most = max(most, c.counts["bytes"] - before)
-    piece = 2 * sending_records.PIECE
+    piece = 2 * watch_session_records.CHUNK_BYTES
     assert 25_000 < most <= rates.rate + rates.burst + piece
     scene.run(400_000)
-    assert {i.core.version for i in scene.ingresses} == {c.book.version}
+    assert {i.core.version for i in scene.ingresses} == {c.store.version}
 
 
 def test_those_who_wait_take_turns(scene: Scene) -> None:
@@ -201,7 +201,7 @@
     filled(scene, 10)
     kept = kept_of(scene)
     for k in range(4):
-        scene.ingress(f"i{k}", kept=Kept(kept.book.copy()))
+        scene.ingress(f"i{k}", kept=StoredSettings(kept.store.copy()))
     scene.run(1_000)
     for n in range(12):
         scene.commit((f"p{n % 3}", b"%d" % n * 20))
@@ -229,9 +229,9 @@
 
 
 def test_all_that_is_kept_of_sessions_and_steps_is_bounded(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sending, "MOST_SESSIONS", 2)
-    monkeypatch.setattr(sending, "MOST_RECENT", 3)
-    monkeypatch.setattr(sending, "MOST_RECENT_BYTES", 2_000)
+    monkeypatch.setattr(watch_sessions, "MAX_SESSIONS", 2)
+    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 3)
+    monkeypatch.setattr(watch_sessions, "MAX_RECENT_BYTES", 2_000)
     c = scene.control("c")
     for k in range(3):
         scene.ingress(f"i{k}")
@@ -254,7 +254,7 @@
     c.received(scene.now, 2, mail.write("rollout.watch", {**fields, "nonce": c.sessions[2].nonce}, b"guessed"))
     c.opened(scene.now, 3)
     c.received(scene.now, 3, mail.write("rollout.acts", {"version": 1, "why": ""}, KEY))
-    assert (c.sessions, c.counts["bad_messages"], c.standing.known) == ({}, 3, {})
+    assert (c.sessions, c.counts["bad_messages"], c.applied_versions.known) == ({}, 3, {})
 
 
 @pytest.mark.parametrize("text", [b"", b"[]", b"{}", b'{"jsonrpc":"2.0","method":"x","params":{"body":1}}'])
@@ -286,7 +286,7 @@
 
 def test_steps_have_to_follow_on(scene: Scene) -> None:
     c = scene.control("c")
-    with pytest.raises(b.BookError):
+    with pytest.raises(b.ObjectStoreError):
         c.committed(scene.now, ChangeSet(2, (Change(("plan", "a"), b"1"),)))
 
 
@@ -297,9 +297,9 @@
     scene.run(500)
     scene.commit(("a", b"2"), ("b", None), controls=("c",))
     scene.commit(("e", b"3"), controls=("c",))
-    d.jumped(scene.now, 3, {key: (version, data) for key, version, data in c.book.objects()})
+    d.snapshot_installed(scene.now, 3, {key: (version, data) for key, version, data in c.store.objects()})
     scene.run(500)
-    assert d.book.digest() == c.book.digest() == i.core.book.digest()
+    assert d.store.digest() == c.store.digest() == i.core.book.digest()
     scene.commit(("a", b"4"))
     scene.run(500)
     assert (i.core.version, d.counts["wholes"]) == (4, 1)
@@ -316,4 +316,4 @@
     after = scene.commit(("p1", b"small"))
     scene.run(2_000)
     assert (number, i.core.version, other.core.version) == (1, after, after)
-    assert i.core.book.digest() == c.book.digest()
+    assert i.core.book.digest() == c.store.digest()
--- a/tests/rollout/test_watching.py
+++ b/tests/rollout/test_watching.py
@@ -8,8 +8,8 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
-from rushweir.rollout.kept import Kept, Rewrite
-from rushweir.rollout.sending_records import Send as Sent
+from rushweir.rollout.stored_settings import Rewrite, StoredSettings
+from rushweir.rollout.watch_session_records import Send as Sent
 from rushweir.rollout.watching import Apply, Keep, Watching
 from tests.rollout.conftest import KEY, Ingress, Scene, whom
 
@@ -139,7 +139,7 @@
     scene.run(1)
     assert (i.core.version, i.core.mend, seen) == (0, None, 3)
     scene.run(3_000)
-    assert (i.core.version, i.core.ahead.digest()) == (1, c.book.digest())
+    assert (i.core.version, i.core.ahead.digest()) == (1, c.store.digest())
 
 
 # --- the one who applies, and the disk ------------------------------------------------------------
@@ -163,7 +163,7 @@
     assert i.core.version == 4
     # As a whole from its version on: all that it missed in one.
     assert i.applies[-1] == (4, [("partner", n) for n in "abc"])
-    assert (i.core.status()["refused"], i.core.book.digest()) == ("", c.book.digest())
+    assert (i.core.status()["refused"], i.core.book.digest()) == ("", c.store.digest())
 
 
 def test_what_is_refused_is_not_tried_again_until_something_changed(scene: Scene) -> None:
@@ -226,16 +226,16 @@
 
 def test_it_says_that_it_acts_only_when_that_is_on_disk(scene: Scene) -> None:
     c = scene.control("c")
-    w = Watching(scene.now, "a", ("c",), Kept(), KEY)
+    w = Watching(scene.now, "a", ("c",), StoredSettings(), KEY)
     w.advance(scene.now)
     w.opened(scene.now, 1)
     c.opened(scene.now, 1)
 
     def exchange() -> list[Apply | Keep]:
         found = []
-        while w.orders or c.orders:
-            while c.orders:
-                down = c.orders.popleft()
+        while w.orders or c.commands:
+            while c.commands:
+                down = c.commands.popleft()
                 if isinstance(down, Sent):
                     w.received(scene.now, 1, down.data)
             while w.orders:
@@ -263,7 +263,7 @@
     w.applied(scene.now, 1)
     (keep,) = exchange()
     assert isinstance(keep, Keep) and isinstance(keep.what, Rewrite)
-    assert (w.version, c.standing.known["a"].acts) == (1, 0)
+    assert (w.version, c.applied_versions.known["a"].acting_version) == (1, 0)
     w.keep_failed(scene.now, "no space")
     assert wait(3_000) == []
     assert c.rows()[0]["why"] == "can't keep its settings: no space"
@@ -271,13 +271,13 @@
     assert isinstance(keep, Keep) and isinstance(keep.what, Rewrite) and keep.version == 1
     w.kept(scene.now, 1)
     wait(500)
-    assert (c.standing.known["a"].acts, c.rows()[0]["why"]) == (1, "")
+    assert (c.applied_versions.known["a"].acting_version, c.rows()[0]["why"]) == (1, "")
 
 
 def test_it_serves_from_what_was_kept_with_no_control_process(scene: Scene) -> None:
     c = scene.control("c")
     scene.commit(("a", b"1"))
-    kept = Kept(c.book.copy())
+    kept = StoredSettings(c.store.copy())
     scene.kill("c")
     i = scene.ingress(kept=kept)
     scene.run(60_000)
@@ -289,7 +289,7 @@
     scene.control("c")
     for n in range(5):
         scene.commit(("a", b"%d" % n))
-    i = scene.ingress(kept=Kept(scene.controls["c"].book.copy()))
+    i = scene.ingress(kept=StoredSettings(scene.controls["c"].store.copy()))
     old = scene.control("c")
     old.committed(scene.now, ChangeSet(1, (Change(("partner", "a"), b"0"),)))
     scene.run(20_000)
@@ -307,13 +307,13 @@
     c = scene.control("c")
     for n in range(3):
         scene.commit(("a", b"%d" % n))
-    strange = Kept(c.book.copy())
-    strange.book.put([(chr(7) + "partnerb", (2).to_bytes(8, "big") + b"of elsewhere")], 3)
+    strange = StoredSettings(c.store.copy())
+    strange.store.put([(chr(7) + "partnerb", (2).to_bytes(8, "big") + b"of elsewhere")], 3)
     i = scene.ingress(kept=strange)
     scene.run(1_000)
     scene.commit(("a", b"later"))
     scene.run(1_000)
-    assert (i.core.version, i.core.book.digest()) == (4, c.book.digest())
+    assert (i.core.version, i.core.book.digest()) == (4, c.store.digest())
     assert i.core.book.get(("partner", "b")) is None
 
 
@@ -345,7 +345,7 @@
     assert i.core.pieces == 1  # the first one begins anew
     for data in [pieces[1], pieces[1], *pieces[2:]]:
         i.core.received(scene.now, 1, data)
-    assert i.core.ahead.digest() == c.book.digest()
+    assert i.core.ahead.digest() == c.store.digest()
     late = scene.ingress("late")
     scene.run(1)
     late.core.received(scene.now, 1, pieces[0])
--- a/tests/rollout/test_watching_links.py
+++ b/tests/rollout/test_watching_links.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rushweir.rollout import watching_links
-from rushweir.rollout.kept import Kept
+from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watching import Watching
 from rushweir.rollout.watching_links import Connect, preference
 from tests.rollout.conftest import KEY, Scene, whom
@@ -75,7 +75,7 @@
         assert whom(i) in (first, second)
         scene.commit(("p", b"%d" % scene.now))
         scene.settle()
-        assert i.core.version == old.book.version
+        assert i.core.version == old.store.version
     assert whom(i) == first
     assert i.core.links.trial is None and len(i.wire) == 1
 
@@ -129,7 +129,7 @@
 
 
 def test_a_dial_that_comes_to_nothing_is_given_up() -> None:
-    w = Watching(0.0, "a", ("c", "d"), Kept(), KEY)
+    w = Watching(0.0, "a", ("c", "d"), StoredSettings(), KEY)
     for _ in range(40):
         w.advance(w.next_at())
     dialed = [o.address for o in w.orders if isinstance(o, Connect)]
