--- a/tests/rollout/test_packed_object_store.py
+++ b/tests/rollout/test_packed_object_store.py
@@ -1,4 +1,4 @@
-"""A book in few bytes: it is what a book is, packed or loose, and how many bytes an object takes."""
+"""The packed object store: it equals a plain one, packed or not; its compaction and its memory per object."""
 
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
 
 from rushweir.config import live
 from rushweir.daemon.rollout_files import Files, Objects
-from rushweir.rollout import packed_object_store as p
-from rushweir.rollout import stored_settings as k
+from rushweir.rollout import packed_object_store, stored_settings
 from rushweir.rollout.change_sets import Change, ChangeSet
-from rushweir.rollout.object_store import ObjectStore, bucket_of, encode_key, encode_object
+from rushweir.rollout.object_store import ObjectStore, Row, bucket_of, encode_key, encode_object, encode_record
 from rushweir.rollout.packed_object_store import PackedObjectStore
 from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watching import FOLD_MS, Watching
-from tests.rollout.test_object_store import parted
+from tests.rollout.test_object_store import rows_by_bucket
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
 CHANGES = st.lists(
@@ -45,103 +44,111 @@
 
 
 @pytest.fixture
-def tight(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing may lie loose, so that small books are packed."""
-    monkeypatch.setattr(p, "MAX_UNPACKED_ROWS", 0)
+def no_unpacked_rows(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Allow no unpacked rows, so that small stores are packed."""
+    monkeypatch.setattr(packed_object_store, "MAX_UNPACKED_ROWS", 0)
 
 
-def all_of(book: ObjectStore) -> tuple:
-    rows = sorted(book.objects())
-    names = [sorted(part) for part in book.buckets]
-    marks = [sorted(book.object_digests(n)) for n in range(len(names))]
-    told = (book.version, book.count, book.size, book.tombstone_floor, book.tombstones, book.digest(), book.digests())
-    return rows, names, marks, told, [book.get(key) for key, _, _ in rows]
+def partners(count: int, version: int, data: bytes) -> list[Row]:
+    return [(encode_key(("partner", str(n))), encode_object(version, data)) for n in range(count)]
+
+
+def packed_buckets(store: ObjectStore) -> int:
+    return sum(bool(bucket.page) for bucket in store.buckets)  # type: ignore[attr-defined]
+
+
+def all_of(store: ObjectStore) -> tuple:
+    rows = sorted(store.objects())
+    names = [sorted(bucket) for bucket in store.buckets]
+    digests = [sorted(store.object_digests(n)) for n in range(len(names))]
+    totals = (store.version, store.count, store.size, store.tombstone_floor, store.tombstones)
+    totals = (*totals, store.digest(), store.digests())
+    return rows, names, digests, totals, [store.get(key) for key, _, _ in rows]
 
 
 @settings(deadline=None, max_examples=60)
-@given(st.lists(st.tuples(CHANGES, st.sampled_from(["", "fold", "pack", "load", "copy", "merge"])), max_size=10))
-def test_a_packed_book_is_what_a_book_is(log: list) -> None:
-    before, p.MAX_UNPACKED_ROWS = p.MAX_UNPACKED_ROWS, 0
+@given(st.lists(st.tuples(CHANGES, st.sampled_from(["", "compact", "pack", "load", "copy", "merge"])), max_size=10))
+def test_packed_store_equals_a_plain_store_after_any_changes(actions: list) -> None:
+    before = packed_object_store.MAX_UNPACKED_ROWS
+    packed_object_store.MAX_UNPACKED_ROWS = 0
     try:
-        plain, small = ObjectStore(), PackedObjectStore()
-        for number, (changes, then) in enumerate(log, 1):
-            step = ChangeSet(number, tuple(changes))
-            plain.apply(step)
-            if then == "merge":
-                rows = plain.since(small.version)
+        plain, packed = ObjectStore(), PackedObjectStore()
+        for version, (changes, action) in enumerate(actions, 1):
+            change_set = ChangeSet(version, tuple(changes))
+            plain.apply(change_set)
+            if action == "merge":
+                rows = plain.since(packed.version)
                 if rows is not None:
-                    small.merge(parted(rows), plain.version, plain.sums, plain.count, plain.size)
-                    plain.skip_to(number)  # so does the other; tombstones are not what is compared
+                    packed.merge(rows_by_bucket(rows), plain.version, plain.sums, plain.count, plain.size)
+                    plain.skip_to(version)  # as merge does: tombstones are not compared
             else:
-                small.apply(step)
-            if then == "fold":
-                while small.compact():
+                packed.apply(change_set)
+            if action == "compact":
+                while packed.compact():
                     pass
-                assert small.unpacked == 0
-            elif then == "pack":
-                for part in small.buckets:
-                    part.pack()  # type: ignore[attr-defined]
-            elif then == "load":
-                small = PackedObjectStore.load(small.dump(), {encode_key(c.key) for c in changes})
-            elif then == "copy":
-                small = small.copy()
-            assert all_of(small) == all_of(plain)
-            assert all(bool(a) == bool(b) for a, b in zip(small.buckets, plain.buckets, strict=True))
-            assert all_of(ObjectStore.load(small.dump())) == all_of(plain)
+                assert packed.unpacked == 0
+            elif action == "pack":
+                for bucket in packed.buckets:
+                    bucket.pack()  # type: ignore[attr-defined]
+            elif action == "load":
+                packed = PackedObjectStore.load(packed.dump(), {encode_key(c.key) for c in changes})
+            elif action == "copy":
+                packed = packed.copy()
+            assert all_of(packed) == all_of(plain)
+            assert all(bool(a) == bool(b) for a, b in zip(packed.buckets, plain.buckets, strict=True))
+            assert all_of(ObjectStore.load(packed.dump())) == all_of(plain)
     finally:
-        p.MAX_UNPACKED_ROWS = before
+        packed_object_store.MAX_UNPACKED_ROWS = before
 
 
-@pytest.mark.usefixtures("tight")
-def test_a_copy_does_not_change_with_the_book() -> None:
-    book = PackedObjectStore()
-    book.put([(encode_key(("plan", str(n))), encode_object(1, b"1")) for n in range(40)], 1)
-    while book.compact():
+@pytest.mark.usefixtures("no_unpacked_rows")
+def test_copy_does_not_change_with_the_original() -> None:
+    store = PackedObjectStore()
+    store.put([(encode_key(("plan", str(n))), encode_object(1, b"1")) for n in range(40)], 1)
+    while store.compact():
         pass
-    other = book.copy()
+    other = store.copy()
     before = all_of(other)
-    book.apply(ChangeSet(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
-    assert all_of(other) == before != all_of(book)
-
-
-def test_few_changes_stay_loose_and_many_are_packed_a_few_parts_at_a_time() -> None:
-    book = PackedObjectStore()
-    book.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(p.MAX_UNPACKED_ROWS)], 1)
-    assert not book.compact()
-    assert all(not part.page for part in book.buckets)  # type: ignore[attr-defined]
-    book.put(
-        [(encode_key(("partner", str(n))), encode_object(2, b"y" * 50)) for n in range(4 * p.MAX_UNPACKED_ROWS)], 2
-    )
-    turns = 0
+    store.apply(ChangeSet(2, (Change(("plan", "7"), b"2"), Change(("plan", "8"), None))))
+    assert all_of(other) == before != all_of(store)
+
+
+def test_few_changes_stay_unpacked_and_many_are_packed_a_few_buckets_at_a_time() -> None:
+    store = PackedObjectStore()
+    store.put(partners(packed_object_store.MAX_UNPACKED_ROWS, 1, b"x" * 50), 1)
+    assert not store.compact()
+    assert all(not bucket.page for bucket in store.buckets)  # type: ignore[attr-defined]
+    store.put(partners(4 * packed_object_store.MAX_UNPACKED_ROWS, 2, b"y" * 50), 2)
+    rounds = 0
     while True:
-        before = sum(bool(part.page) for part in book.buckets)  # type: ignore[attr-defined]
-        more = book.compact()
-        turns += 1
-        assert sum(bool(part.page) for part in book.buckets) - before <= p.BUCKETS_PER_COMPACTION  # type: ignore[attr-defined]
-        if not more:
+        before = packed_buckets(store)
+        has_more = store.compact()
+        rounds += 1
+        assert packed_buckets(store) - before <= packed_object_store.BUCKETS_PER_COMPACTION
+        if not has_more:
             break
-    assert book.unpacked <= p.MAX_UNPACKED_ROWS
-    assert 10 < turns <= 64
-    assert not book.compact()
+    assert store.unpacked <= packed_object_store.MAX_UNPACKED_ROWS
+    assert 10 < rounds <= 64
+    assert not store.compact()
 
 
-def test_a_log_of_changes_all_over_is_taken_without_a_look_for_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = StoredSettings()
-    kept.store.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(4_000)], 1)
-    book, log = kept.rewrite().store.dump(), k.MAGIC
+def test_loading_a_log_decompresses_each_page_at_most_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    stored = StoredSettings()
+    stored.store.put(partners(4_000, 1, b"x" * 50), 1)
+    store, log = stored.rewrite().store.dump(), stored_settings.MAGIC
     for n in range(2_000):
         rows = [(encode_key(("partner", str(n * 7 % 4_000))), encode_object(2 + n, b"y" * 50))]
-        kept.store.put(rows, 2 + n)
-        log += k.encode_record(["rows", 1 + n, 2 + n, rows, kept.store.digest()])
-    looks = []
-    real = p.decompress
-    monkeypatch.setattr(p, "decompress", lambda piece: (looks.append(1), real(piece))[1])
-    back, wrong, _ = k.load(book, log)
-    assert (back.store.digest(), wrong) == (kept.store.digest(), [])
-    assert len(looks) <= 256
+        stored.store.put(rows, 2 + n)
+        log += encode_record(["rows", 1 + n, 2 + n, rows, stored.store.digest()])
+    decompressed = []
+    real = packed_object_store.decompress
+    monkeypatch.setattr(packed_object_store, "decompress", lambda page: (decompressed.append(1), real(page))[1])
+    loaded, problems, _ = stored_settings.load(store, log)
+    assert (loaded.store.digest(), problems) == (stored.store.digest(), [])
+    assert len(decompressed) <= 256
 
 
-# --- bytes ---------------------------------------------------------------------------------------
+# --- memory --------------------------------------------------------------------------------------
 
 
 def rows(count: int = OBJECTS) -> Iterator[tuple[tuple[str, str], bytes]]:
@@ -155,63 +162,61 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A machine that kept OBJECTS partners."""
-    book = ObjectStore()
-    book.put([(encode_key(key), encode_object(1 + len(data) % 3, data)) for key, data in rows()], 3)
+    """A folder of an ingress that stored OBJECTS partners."""
+    store = ObjectStore()
+    store.put([(encode_key(key), encode_object(1 + len(data) % 3, data)) for key, data in rows()], 3)
     (tmp_path / "run").mkdir()
-    (tmp_path / "run" / "rollout.book").write_bytes(book.dump())
-    (tmp_path / "run" / "rollout.log").write_bytes(k.MAGIC)
+    (tmp_path / "run" / "rollout.book").write_bytes(store.dump())
+    (tmp_path / "run" / "rollout.log").write_bytes(stored_settings.MAGIC)
     (tmp_path / "watch.key").write_bytes(b"w" * 32)
     (tmp_path / "one.conf").write_text(MADE)
     return tmp_path
 
 
-def test_an_object_takes_few_bytes_in_a_book_and_a_start_makes_no_heap_of_them(folder: Path) -> None:
-    """Counted by tracemalloc."""
+def test_memory_per_object_of_store_settings_and_start_is_bounded(folder: Path) -> None:
+    """Bytes are counted by tracemalloc."""
     live.assemble(folder / "one.conf", list(rows(1)), 1)  # tables of the grammar and models are made
     gc.collect()
     tracemalloc.start(1)
     try:
-        kept, wrong = Files(folder / "run").load()
+        stored, problems = Files(folder / "run").load()
         gc.collect()
-        book = tracemalloc.get_traced_memory()[0]
-        config = live.assemble(folder / "one.conf", Objects(kept.store), 3)
+        store_bytes = tracemalloc.get_traced_memory()[0]
+        config = live.assemble(folder / "one.conf", Objects(stored.store), 3)
         gc.collect()
         both, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert (wrong, kept.store.count, len(config.file.partners)) == ([], OBJECTS + 21, OBJECTS)
-    assert book < 100 * OBJECTS  # 77 of them measured, with 1,002 rows that lay loose; a plain book 237
-    assert both - book < 340 * OBJECTS  # 280
-    assert peak - both < 80 * OBJECTS  # 31; with a list of all 319
+    assert (problems, stored.store.count, len(config.file.partners)) == ([], OBJECTS + 21, OBJECTS)
+    assert store_bytes < 100 * OBJECTS  # 77, with 1,002 unpacked rows; a plain store 237
+    assert both - store_bytes < 340 * OBJECTS  # 280
+    assert peak - both < 80 * OBJECTS  # 31; 319 with a list of all objects
 
 
-def test_parts_are_as_even_as_their_bound_needs() -> None:
-    """What a look unpacks is one part."""
+def test_buckets_are_even_enough_for_their_bound() -> None:
+    """A lookup decompresses one bucket."""
     counts = [0] * 256
     for key, _ in rows(25_300):
         counts[bucket_of(encode_key(key))] += 1
     assert max(counts) < 2 * 25_300 / 256
 
 
-def test_a_watcher_packs_what_lies_loose_between_its_other_work_and_not_while_it_applies() -> None:
-    kept = StoredSettings()
-    kept.store.put(
-        [(encode_key(("partner", str(n))), encode_object(1, b"x" * 50)) for n in range(3 * p.MAX_UNPACKED_ROWS)], 1
-    )
-    digest = kept.store.digest()
-    core = Watching(0.0, "i", ("c",), kept)
+def test_watcher_compacts_its_store_in_turns_and_not_while_it_applies_changes() -> None:
+    stored = StoredSettings()
+    stored.store.put(partners(3 * packed_object_store.MAX_UNPACKED_ROWS, 1, b"x" * 50), 1)
+    digest = stored.store.digest()
+    core = Watching(0.0, "i", ("c",), stored)
     core.ahead.freeze()
     core.advance(FOLD_MS)
-    assert not any(part.page for part in kept.store.buckets)  # type: ignore[attr-defined]
+    assert not any(bucket.page for bucket in stored.store.buckets)  # type: ignore[attr-defined]
     core.refused(2 * FOLD_MS, 1, ("", ""), "", "")
-    now, turns = 2 * FOLD_MS, 0
-    while kept.store.needs_compaction:
+    now, rounds = 2 * FOLD_MS, 0
+    while stored.store.needs_compaction:
         now += FOLD_MS
         assert core.next_at() <= now
-        before = sum(bool(part.page) for part in kept.store.buckets)  # type: ignore[attr-defined]
+        before = packed_buckets(stored.store)
         core.advance(now)
-        assert sum(bool(part.page) for part in kept.store.buckets) - before <= p.BUCKETS_PER_COMPACTION  # type: ignore[attr-defined]
-        turns += 1
-    assert turns > 10
-    assert kept.store.digest() == digest
+        assert packed_buckets(stored.store) - before <= packed_object_store.BUCKETS_PER_COMPACTION
+        rounds += 1
+    assert rounds > 10
+    assert stored.store.digest() == digest
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -208,7 +208,7 @@
         book.write_bytes(data)
         await s.start("door-a")
         told = await s.line("door-a", "kept_settings_refused")
-        assert "kept settings: a book that is torn or altered at byte" in told["why"]
+        assert "stored settings: object store torn or altered at byte" in told["why"]
         await s.serving("door-a")
         await s.in_force(number, "door-a")
 
