--- a/rushweir/daemon/rollout_files.py
+++ b/rushweir/daemon/rollout_files.py
@@ -19,7 +19,7 @@
 from rushweir.rollout.change_sets import Key
 from rushweir.rollout.object_store import FileData, ObjectStore, decode_records, encode_record
 from rushweir.rollout.stored_settings import Append, StoredSettings
-from rushweir.rollout.watching import Keep
+from rushweir.rollout.watching_commands import Keep
 
 BOOK, LOG, BETWEEN = "rollout.book", "rollout.log", "rollout.between"
 
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -35,7 +35,8 @@
 from rushweir.rollout.large_messages import LargeMessage
 from rushweir.rollout.stored_settings import Rewrite, StoredSettings
 from rushweir.rollout.watch_mail import MOST_MESSAGE
-from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
 from rushweir.rollout.watching_links import Connect, Disconnect
 
 MOST_UNSENT = 1_048_576  # bytes that wait in a connection; it says little, so more is a connection that is stuck
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -10,7 +10,8 @@
 from rushweir.rollout.watch_session_records import Close, Report
 from rushweir.rollout.watch_session_records import Send as Sent
 from rushweir.rollout.watch_sessions import WatchSessions
-from rushweir.rollout.watching import Apply, Keep, Note, Send, Watching
+from rushweir.rollout.watching import Watching
+from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
 from rushweir.rollout.watching_links import Connect, Disconnect
 
 KEY = b"a key of the test"
--- a/tests/rollout/test_large_messages.py
+++ b/tests/rollout/test_large_messages.py
@@ -21,8 +21,9 @@
 from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
 from rushweir.rollout.packed_object_store import PackedObjectStore
 from rushweir.rollout.stored_settings import StoredSettings
-from rushweir.rollout.watching import Apply, Watching
+from rushweir.rollout.watching import Watching
 from rushweir.rollout.watching_ahead import Ahead
+from rushweir.rollout.watching_commands import Apply
 from tests.rollout.conftest import KEY, Scene
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
