--- a/rushweir/lab/sim/rollout_watch.py
+++ b/rushweir/lab/sim/rollout_watch.py
@@ -20,7 +20,8 @@
 from rushweir.lab.sim.rollout_world import KEY, Control, Ingress, Wire, World
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.change_sets import Change, Key, pack, unpack
-from rushweir.rollout.watch_session_records import CHUNK_BYTES, Rates
+from rushweir.rollout.watch_session_limits import CHUNK_BYTES
+from rushweir.rollout.watch_session_records import Rates
 
 IN_FORCE_MS = 11_000.0
 LOOK_MS = 500.0
--- a/rushweir/rollout/watch_session_records.py
+++ b/rushweir/rollout/watch_session_records.py
@@ -7,20 +7,9 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_session_limits as limits
 from rushweir.rollout.object_store import Row
 
-HEARTBEAT_MS = 1_500.0
-REPORT_MS = (1_000.0, 3_000.0)  # with something new to tell, and without
-SILENT_MS = 10_000.0  # a session that says nothing for so long is closed
-MAX_SESSIONS = 2_048
-MAX_RECENT = 4_096  # steps that are kept as they went out
-MAX_RECENT_BYTES = 8 * 1_048_576
-MAX_CATCH_UP_BYTES = 131_072  # of steps for one that comes back; beyond that what differs is asked for
-SMALL_MESSAGE_BYTES = 16_384  # bytes of a message
-CHUNK_BYTES = 32_768  # bytes of rows in a piece of what differs, before it is deflated
-MAX_SNAPSHOT_SESSIONS = 4  # sessions that get pieces at a time; others wait
-LARGE_MESSAGE_SHARE = 0.25  # of the rate, for larger messages
-
 OPENED, STEPS, ASKED, HELD, QUEUED, LARGE = "opened", "steps", "asked", "held", "queued", "large"
 
 
@@ -86,7 +75,9 @@
     def fill(self, now: float) -> None:
         more = self.rates.rate * (now - self.at) / 1000
         self.level = min(self.rates.burst, self.level + more)
-        self.large = min(self.rates.burst * LARGE_MESSAGE_SHARE, self.large + more * LARGE_MESSAGE_SHARE)
+        self.large = min(
+            self.rates.burst * limits.LARGE_MESSAGE_SHARE, self.large + more * limits.LARGE_MESSAGE_SHARE
+        )
         self.at = now
 
     def wait_ms(self) -> float:
@@ -100,7 +91,7 @@
     """Messages with all rows and marks, made one by one as they go out; the rows' bytes never change meanwhile."""
     at = number = 0
     while True:
-        piece, told, room = list[Row](), dict[int, bytes](), CHUNK_BYTES
+        piece, told, room = list[Row](), dict[int, bytes](), limits.CHUNK_BYTES
         while at < len(rows) and room > 0:
             piece.append(rows[at])
             room -= len(rows[at][0]) + len(rows[at][1] or b"")
--- a/rushweir/rollout/watch_sessions.py
+++ b/rushweir/rollout/watch_sessions.py
@@ -26,6 +26,7 @@
 from typing import Any
 
 from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_session_limits as limits
 from rushweir.rollout.applied_versions import EXPIRE_MS, AppliedVersions
 from rushweir.rollout.change_sets import ChangeSet, Key, pack
 from rushweir.rollout.object_store import (
@@ -39,19 +40,10 @@
 )
 from rushweir.rollout.watch_session_records import (
     ASKED,
-    HEARTBEAT_MS,
     HELD,
     LARGE,
-    MAX_CATCH_UP_BYTES,
-    MAX_RECENT,
-    MAX_RECENT_BYTES,
-    MAX_SESSIONS,
-    MAX_SNAPSHOT_SESSIONS,
     OPENED,
     QUEUED,
-    REPORT_MS,
-    SILENT_MS,
-    SMALL_MESSAGE_BYTES,
     STEPS,
     Close,
     Rates,
@@ -98,7 +90,11 @@
         self.recent[step.version] = RecentChangeSet(message, digest, self.passed)
         self.passed += len(message)
         self.recent_bytes += len(message)
-        while len(self.recent) > MAX_RECENT or self.recent_bytes > MAX_RECENT_BYTES and len(self.recent) > 1:
+        while (
+            len(self.recent) > limits.MAX_RECENT
+            or self.recent_bytes > limits.MAX_RECENT_BYTES
+            and len(self.recent) > 1
+        ):
             self.recent_bytes -= len(self.recent.pop(next(iter(self.recent))).message)
         for s in self.sessions.values():
             if s.state is STEPS:
@@ -131,12 +127,12 @@
 
     def opened(self, now: float, conn: int) -> None:
         self._clock(now)
-        if len(self.sessions) >= MAX_SESSIONS:
+        if len(self.sessions) >= limits.MAX_SESSIONS:
             self.commands.append(Close(conn, "too many sessions"))
             return
         s = self.sessions[conn] = Session(conn, self.rng.getrandbits(62), now)
         self._send(s, self._beat(s.nonce))
-        self.beats.append((now + HEARTBEAT_MS, conn))
+        self.beats.append((now + limits.HEARTBEAT_MS, conn))
 
     def closed(self, now: float, conn: int) -> None:
         self._clock(now)
@@ -187,7 +183,7 @@
         return self.applied_versions.rows(self.now, self.store.version)
 
     def next_at(self) -> float:
-        due = self.reported_at + REPORT_MS[0 if self.applied_versions.changed else 1]
+        due = self.reported_at + limits.REPORT_MS[0 if self.applied_versions.changed else 1]
         if self.beats:
             due = min(due, self.beats[0][0])
         if self.small or self.large:
@@ -201,13 +197,13 @@
             s = self.sessions.get(conn)
             if s is None:
                 continue
-            if now - s.last_seen_at > SILENT_MS:
+            if now - s.last_seen_at > limits.SILENT_MS:
                 self._drop(s, "silent")
                 continue
             # The nonce until it watches: its first beat may have been refused on the way.
             self._send(s, self._beat(None if s.watcher else s.nonce, self._waits(s)))
-            self.beats.append((now + HEARTBEAT_MS, conn))
-        if now >= self.reported_at + REPORT_MS[0 if self.applied_versions.changed else 1]:
+            self.beats.append((now + limits.HEARTBEAT_MS, conn))
+        if now >= self.reported_at + limits.REPORT_MS[0 if self.applied_versions.changed else 1]:
             self.reported_at = now
             self.commands.append(Report(self.applied_versions.report(now)))
         self._pump()
@@ -302,7 +298,7 @@
 
     def _places(self) -> None:
         """What differs is looked up when there is a place, not before: rows for all who wait would take room."""
-        while self.queue and sum(s.state is LARGE for s in self.sessions.values()) < MAX_SNAPSHOT_SESSIONS:
+        while self.queue and sum(s.state is LARGE for s in self.sessions.values()) < limits.MAX_LARGE_SESSIONS:
             s = self.sessions[next(iter(self.queue))]
             del self.queue[s.conn]
             rows, marks = self._rows(s)
@@ -333,10 +329,10 @@
             self.large[s.conn] = None
         elif s.state is STEPS and s.sent < self.store.version:
             first = self.recent.get(s.sent + 1)
-            if first is None or self.passed - first.behind > MAX_CATCH_UP_BYTES + len(first.message):
+            if first is None or self.passed - first.behind > limits.MAX_CATCH_UP_BYTES + len(first.message):
                 self._ask(s)
             else:
-                (self.small if len(first.message) <= SMALL_MESSAGE_BYTES else self.large)[s.conn] = None
+                (self.small if len(first.message) <= limits.SMALL_MESSAGE_BYTES else self.large)[s.conn] = None
 
     def _out_of_line(self, s: Session) -> None:
         for line in (self.small, self.large, self.queue):
--- a/tests/rollout/test_watch_sessions.py
+++ b/tests/rollout/test_watch_sessions.py
@@ -8,7 +8,7 @@
 
 from rushweir.rollout import object_store as b
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout import watch_session_records, watch_sessions
+from rushweir.rollout import watch_session_limits
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, ChangeSet
 from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watch_session_records import Rates
@@ -64,7 +64,7 @@
 
 
 def test_beyond_the_recent_steps_only_what_differs_is_sent(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 10)
+    monkeypatch.setattr(watch_session_limits, "MAX_RECENT", 10)
     c = scene.control("c")
     filled(scene, 2_000)
     kept = kept_of(scene)
@@ -82,7 +82,7 @@
 
 
 def test_what_is_gone_is_found_without_tombstones_too(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 2)
+    monkeypatch.setattr(watch_session_limits, "MAX_RECENT", 2)
     monkeypatch.setattr(b, "MAX_TOMBSTONES", 3)
     c = scene.control("c")
     filled(scene, 300)
@@ -190,7 +190,7 @@
             scene.commit((f"p{second}", b"new"))
         scene.run(1_000)
         most = max(most, c.counts["bytes"] - before)
-    piece = 2 * watch_session_records.CHUNK_BYTES
+    piece = 2 * watch_session_limits.CHUNK_BYTES
     assert 25_000 < most <= rates.rate + rates.burst + piece
     scene.run(400_000)
     assert {i.core.version for i in scene.ingresses} == {c.store.version}
@@ -229,9 +229,9 @@
 
 
 def test_all_that_is_kept_of_sessions_and_steps_is_bounded(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_sessions, "MAX_SESSIONS", 2)
-    monkeypatch.setattr(watch_sessions, "MAX_RECENT", 3)
-    monkeypatch.setattr(watch_sessions, "MAX_RECENT_BYTES", 2_000)
+    monkeypatch.setattr(watch_session_limits, "MAX_SESSIONS", 2)
+    monkeypatch.setattr(watch_session_limits, "MAX_RECENT", 3)
+    monkeypatch.setattr(watch_session_limits, "MAX_RECENT_BYTES", 2_000)
     c = scene.control("c")
     for k in range(3):
         scene.ingress(f"i{k}")
