--- a/rushweir/rollout/watching_commands.py
+++ b/rushweir/rollout/watching_commands.py
@@ -8,7 +8,7 @@
 
 from rushweir.rollout import watch_mail as mail
 from rushweir.rollout.change_sets import Change, Key
-from rushweir.rollout.kept import Append, Rewrite
+from rushweir.rollout.stored_settings import Append, Rewrite
 from rushweir.rollout.watching_ahead import Frozen
 
 
