--- a/benchmarks/websocket_libraries.py
+++ b/benchmarks/websocket_libraries.py
@@ -22,7 +22,7 @@
     client.connect({})
     server.proto.receive_data(b"".join(client.take()[0]))
     server.proto.send_response(server.proto.accept(server.proto.events_received()[0]))
-    assert client.shake(b"".join(server.take()[0]))
+    assert client.receive_handshake(b"".join(server.take()[0]))
 
     def move(a, b, text):
         a.send(text)
--- a/rushweir/cli/ask.py
+++ b/rushweir/cli/ask.py
@@ -49,7 +49,7 @@
                     break
         except OSError as problem:
             raise NoDaemon(f"the daemon at {self.path} does not answer: {problem}") from None
-        reply = rpc.read(found[0])
+        reply = rpc.parse(found[0])
         if not isinstance(reply, rpc.Reply):
             raise NoDaemon(f"what answers at {self.path} is no daemon of ours")
         if reply.error is not None:
--- a/rushweir/cli/change.py
+++ b/rushweir/cli/change.py
@@ -52,7 +52,7 @@
     from rushweir.daemon.control_process import ControlProcess
     from rushweir.daemon.lock import Held
     from rushweir.ingress.shell import Clock
-    from rushweir.logs.decisions import Limiter
+    from rushweir.logs.limiter import Limiter
     from rushweir.logs.log import Log
     from rushweir.logs.sink import Sink
     from rushweir.rollout.book import Book
--- a/rushweir/config/values.py
+++ b/rushweir/config/values.py
@@ -12,7 +12,7 @@
 
 from rushweir.costs import amounts
 from rushweir.costs import decisions as costs
-from rushweir.link.networks import network
+from rushweir.link.networks import parse_network
 
 TIMES = {"ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
 SIZES = {"": 1, "k": 1024, "m": 1024**2, "g": 1024**3}
@@ -107,7 +107,7 @@
 WebAddress = Annotated[str, BeforeValidator(web_address)]
 Number = Annotated[float, BeforeValidator(number)]
 Whole = Annotated[int, BeforeValidator(whole)]
-Net = Annotated[Any, BeforeValidator(network)]
+Net = Annotated[Any, BeforeValidator(parse_network)]
 OwnNumber = Annotated[int, BeforeValidator(own_number)]
 Amount = Annotated[Any, BeforeValidator(amount)]
 BodyField = Annotated[str, BeforeValidator(body_field)]
--- a/rushweir/console/shell.py
+++ b/rushweir/console/shell.py
@@ -58,7 +58,7 @@
                     line = await self.reader.readline()
                     if not line:
                         raise ConnectionResetError("it ended the connection")
-                reply = rpc.read(line)
+                reply = rpc.parse(line)
             except (OSError, TimeoutError, ValueError, rpc.RpcError, asyncio.CancelledError) as problem:
                 if self.writer is not None:
                     self.writer.close()
--- a/rushweir/costs/explain.py
+++ b/rushweir/costs/explain.py
@@ -12,7 +12,7 @@
 def explain(rules: CostRules, line: str) -> list[dict[str, Any]]:
     """The prices of the requests in a JSON-RPC message, in units as text. Raises ValueError."""
     try:
-        message = rpc.read(line)
+        message = rpc.parse(line)
     except rpc.RpcError as problem:
         raise ValueError(str(problem)) from None
     found = []
--- a/rushweir/counter/client.py
+++ b/rushweir/counter/client.py
@@ -55,8 +55,8 @@
         at: Callable[[float, Callable[..., None], Any], None],
     ) -> None:
         self.link = Upstream(
-            self, url, headers, seed=seed, new_conn=new_conn, at=at, pause_ms=PAUSE_MS, connect_ms=CONNECT_MS,
-            ping_ms=PING_MS, max_message=MOST_MESSAGE,
+            self, url, headers, seed=seed, new_conn=new_conn, at=at, retry_delay_ms=PAUSE_MS,
+            connect_timeout_ms=CONNECT_MS, ping_interval_ms=PING_MS, max_message=MOST_MESSAGE,
         )  # fmt: skip
         self.timeout, self.at, self.number = timeout_ms, at, 0
         self.calls: dict[int, Call] = {}
--- a/rushweir/daemon/control.py
+++ b/rushweir/daemon/control.py
@@ -45,7 +45,7 @@
 def ask(line: bytes) -> rpc.Call | bytes:
     """The question in a line, or the answer to what is none."""
     try:
-        message = rpc.read(line, 1)
+        message = rpc.parse(line, 1)
     except rpc.RpcError as problem:
         return problem.answer()
     if not isinstance(message, rpc.Call) or message.id is None:
--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -133,8 +133,8 @@
         url = f"ws://[{host}]:{port}/control" if ":" in host else f"ws://{host}:{port}/control"
         self.link = Upstream(
             self, url, {}, seed=secrets.randbits(32), new_conn=dials.new_conn,
-            at=lambda when, what, argument: dials.at(when, what, argument, self.link), pause_ms=PAUSE_MS,
-            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
+            at=lambda when, what, argument: dials.at(when, what, argument, self.link), retry_delay_ms=PAUSE_MS,
+            connect_timeout_ms=CONNECT_MS, ping_interval_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
         )  # fmt: skip
         self.link.start(process.clock())
         dials.carry(self.link)
--- a/rushweir/daemon/handover.py
+++ b/rushweir/daemon/handover.py
@@ -64,7 +64,7 @@
     except OSError as problem:
         sock.close()
         raise HandoverError(f"no daemon to take over from at {path}: {problem}") from None
-    message = rpc.read(data.strip() or b"null")
+    message = rpc.parse(data.strip() or b"null")
     if not isinstance(message, rpc.Reply) or message.error is not None or not isinstance(message.result, dict):
         sock.close()
         raise HandoverError(f"not handed over: {message.error['message'] if message.error else 'no answer'}")
--- a/rushweir/daemon/operations.py
+++ b/rushweir/daemon/operations.py
@@ -61,7 +61,7 @@
             "overload": core.load_shedder.level, "loop_delay_ms": round(core.load_shedder.delay_ms, 1),
             "reloaded_ms": self.reloaded_at,
             "answers": {k: core.engine.counts[k] for k in ("served", "refused", "failed", "left")},
-            "faults": core.engine.faults, "attempts_out": len(core.pool.where),
+            "faults": core.engine.faults, "attempts_out": len(core.pool.link_by_attempt),
             **({"fleet": core.fleet.seen()} if core.fleet is not None else {}),
         }  # fmt: skip
 
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -68,7 +68,7 @@
         if self.open:
             texts = self.messages.receive(data)
         else:
-            self.open = bool(opened := self.messages.shake(data))
+            self.open = bool(opened := self.messages.receive_handshake(data))
             if opened is False and self.transport is not None:
                 self.transport.abort()
             if not self.open:
--- a/rushweir/daemon/service.py
+++ b/rushweir/daemon/service.py
@@ -30,7 +30,7 @@
 from rushweir.ingress.membership import Membership
 from rushweir.ingress.shell import Clock, Shell, calm_collector
 from rushweir.link import rpc
-from rushweir.logs.decisions import Limiter
+from rushweir.logs.limiter import Limiter
 from rushweir.logs.log import Log
 from rushweir.logs.sink import Sink
 from rushweir.policy import Policy
@@ -214,7 +214,7 @@
     async def _tell_left_out(self) -> None:
         while True:
             await asyncio.sleep(TELL_EVERY_S)
-            self.log.tell_left_out()
+            self.log.report_suppressed()
 
     # --- other settings --------------------------------------------------------------------------
 
@@ -225,7 +225,7 @@
     def taken(self, new: Config, changes: Sequence[Any] | None) -> None:
         """Other settings hold; None: the same ones, which all act on by now."""
         self.config = self.ops.config = new
-        self.log.adopt(*log_settings(new))
+        self.log.apply_settings(*log_settings(new))
         if changes is not None:
             self.ops.reloaded_at = self.clock()
             self.core.log(self.clock(), "info", "reloaded", changes=len(changes))
--- a/rushweir/discovery/pushed.py
+++ b/rushweir/discovery/pushed.py
@@ -42,8 +42,8 @@
     ) -> None:
         """``push`` watches without being asked, as deployments with a pushed list want."""
         self.link = Upstream(
-            self, url, headers, seed=seed, new_conn=new_conn, at=at, pause_ms=PAUSE_MS, connect_ms=CONNECT_MS,
-            ping_ms=PING_MS, max_message=MOST_UPDATE, deflate=True,
+            self, url, headers, seed=seed, new_conn=new_conn, at=at, retry_delay_ms=PAUSE_MS,
+            connect_timeout_ms=CONNECT_MS, ping_interval_ms=PING_MS, max_message=MOST_UPDATE, deflate=True,
         )  # fmt: skip
         self.watching = push
         self.version = -1  # of the list held; -1: nothing held from this service
--- a/rushweir/discovery/kept.py
+++ b/rushweir/discovery/saved_list.py
@@ -11,7 +11,7 @@
 import orjson
 
 from rushweir import interface as i
-from rushweir.discovery.source import UpdateError, as_entry, servers
+from rushweir.discovery.source import UpdateError, server_to_entry, servers
 
 FORMAT = 2
 
@@ -21,7 +21,7 @@
 
 
 def dump(listed: dict[str, i.Server], by_hand: set[str], written_ms: float) -> bytes:
-    entries = orjson.dumps([as_entry(s) for s in listed.values()])
+    entries = orjson.dumps([server_to_entry(s) for s in listed.values()])
     hand = orjson.dumps(sorted(by_hand))
     head = {"format": FORMAT, "written_ms": written_ms, "digest": _digest(entries, hand)}
     return orjson.dumps({**head, "by_hand": orjson.Fragment(hand), "servers": orjson.Fragment(entries)})
--- a/rushweir/discovery/source.py
+++ b/rushweir/discovery/source.py
@@ -8,8 +8,8 @@
 
 from rushweir import interface as i
 
-MOST_SERVERS = 20_000  # of one list: bounds what a broken source can make an ingress hold
-MOST_TEXT = 255
+MAX_SERVERS = 20_000  # of one list: bounds what a broken source can make an ingress hold
+MAX_TEXT_LENGTH = 255
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,33 +41,33 @@
     """One entry of a list, checked. Raises UpdateError."""
     if not isinstance(entry, dict):
         raise UpdateError(f"{where}: an object")
-    address = text(entry, "address", where)
-    if host_port(address)[1] == 0:
+    address = text_field(entry, "address", where)
+    if split_host_port(address)[1] == 0:
         raise UpdateError(f"{where}.address: host:port, not {address[:80]!r}")
     try:
         state = i.State(entry.get("state", "ready"))
     except ValueError:
         raise UpdateError(f"{where}.state: ready, draining or gone, not {str(entry['state'])[:40]!r}") from None
-    return described(entry, where, address, "online_since_ms", state)
+    return server_from_fields(entry, where, address, "online_since_ms", state)
 
 
-def described(entry: dict[str, Any], where: str, address: str, since: str, state: i.State) -> i.Server:
+def server_from_fields(entry: dict[str, Any], where: str, address: str, since: str, state: i.State) -> i.Server:
     """A server with what all sources say of one in the same words; ``since`` names the field of its start."""
     cell = entry.get("cell", 0)
     if type(cell) is not int or cell < 0:
         raise UpdateError(f"{where}.cell: a whole number from 0")
     return i.Server(
         address=address,
-        zone=text(entry, "zone", where, ""),
+        zone=text_field(entry, "zone", where, ""),
         cell=cell,
         online_since_ms=number(entry, since, where, 0.0),
         weight=number(entry, "weight", where, 1.0),
-        kind=text(entry, "kind", where, ""),
+        kind=text_field(entry, "kind", where, ""),
         state=state,
     )
 
 
-def host_port(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     """Host, without the brackets of IPv6, and port of ``host:port``; no host and port 0 where the text is none."""
     host, _, port = address.rpartition(":")
     # Other digits than these pass for some in Unicode, and int() raises for a few of them.
@@ -79,8 +79,8 @@
     """All entries of a list. Raises UpdateError; no address may stand twice."""
     if not isinstance(entries, list):
         raise UpdateError(f"{where}: an array")
-    if len(entries) > MOST_SERVERS:
-        raise UpdateError(f"{where}: {MOST_SERVERS} entries at most")
+    if len(entries) > MAX_SERVERS:
+        raise UpdateError(f"{where}: {MAX_SERVERS} entries at most")
     found = tuple(server(e, f"{where}[{k}]") for k, e in enumerate(entries))
     seen: set[str] = set()
     for k, s in enumerate(found):
@@ -90,7 +90,7 @@
     return found
 
 
-def as_entry(s: i.Server) -> dict[str, Any]:
+def server_to_entry(s: i.Server) -> dict[str, Any]:
     """A server as ``server`` reads it."""
     return {
         "address": s.address, "zone": s.zone, "cell": s.cell, "online_since_ms": s.online_since_ms,
@@ -98,7 +98,7 @@
     }  # fmt: skip
 
 
-def apply(held: dict[str, i.Server], update: Update) -> dict[str, i.Server]:
+def apply_update(held: dict[str, i.Server], update: Update) -> dict[str, i.Server]:
     """The list after an update. A failed one leaves it as it is."""
     if update.scope is i.Scope.FAILED:
         return held
@@ -111,10 +111,10 @@
     return new
 
 
-def text(entry: dict[str, Any], name: str, where: str, default: str | None = None) -> str:
+def text_field(entry: dict[str, Any], name: str, where: str, default: str | None = None) -> str:
     value = entry.get(name, default)
-    if type(value) is not str or len(value) > MOST_TEXT or (default is None and not value):
-        raise UpdateError(f"{where}.{name}: text of at most {MOST_TEXT} characters")
+    if type(value) is not str or len(value) > MAX_TEXT_LENGTH or (default is None and not value):
+        raise UpdateError(f"{where}.{name}: text of at most {MAX_TEXT_LENGTH} characters")
     return value
 
 
--- a/rushweir/edge/config.py
+++ b/rushweir/edge/config.py
@@ -10,7 +10,7 @@
 import orjson
 
 from rushweir import interface
-from rushweir.discovery.source import host_port
+from rushweir.discovery.source import split_host_port
 from rushweir.options import parse_settings
 
 DEFAULT_DIAL_TIMEOUT_MS = 250.0  # to connect to a backend, unless the settings have a value
@@ -111,7 +111,7 @@
 
 
 def _address(value: Any, field: str) -> Address:
-    host, port = host_port(value) if isinstance(value, str) else ("", 0)
+    host, port = split_host_port(value) if isinstance(value, str) else ("", 0)
     if not host:
         raise ConfigError(f"{field}: must be host:port, not {str(value)[:80]!r}")
     return host, port
--- a/rushweir/edge/discovery_watch.py
+++ b/rushweir/edge/discovery_watch.py
@@ -23,7 +23,15 @@
 import orjson
 
 from rushweir import interface
-from rushweir.discovery.source import MOST_SERVERS, MOST_TEXT, Update, UpdateError, described, host_port, text
+from rushweir.discovery.source import (
+    MAX_SERVERS,
+    MAX_TEXT_LENGTH,
+    Update,
+    UpdateError,
+    server_from_fields,
+    split_host_port,
+    text_field,
+)
 from rushweir.edge.backend_links import Endpoint
 from rushweir.edge.http import AnswerReader, Malformed
 from rushweir.ingress import commands
@@ -251,8 +259,8 @@
             raise UpdateError("version: must be a whole number")
         if type(full) is not bool:
             raise UpdateError("full: must be true or false")
-        if not isinstance(entries, list) or len(entries) > MOST_SERVERS:
-            raise UpdateError(f"servers: must be an array of at most {MOST_SERVERS}")
+        if not isinstance(entries, list) or len(entries) > MAX_SERVERS:
+            raise UpdateError(f"servers: must be an array of at most {MAX_SERVERS}")
         found: dict[str, tuple[interface.Server, Endpoint]] = {}
         for index, entry in enumerate(entries):
             server, endpoint = self._parse_entry(entry, f"servers[{index}]")
@@ -278,7 +286,7 @@
             return self._parse_server(entry, where)
         except UpdateError as problem:
             name = entry.get("id") if isinstance(entry, dict) else None
-            known = type(name) is str and 0 < len(name) <= MOST_TEXT
+            known = type(name) is str and 0 < len(name) <= MAX_TEXT_LENGTH
             self._report_malformed(str(problem), name if known else "")
             if not known:
                 return None, NO_ENDPOINT
@@ -288,13 +296,13 @@
     def _parse_server(self, entry: Any, where: str) -> tuple[interface.Server, Endpoint]:
         if not isinstance(entry, dict):
             raise UpdateError(f"{where}: must be an object")
-        name, state = text(entry, "id", where), text(entry, "state", where, "")
-        host, port = host_port(text(entry, "addr", where, ""))
+        name, state = text_field(entry, "id", where), text_field(entry, "state", where, "")
+        host, port = split_host_port(text_field(entry, "addr", where, ""))
         if state != "Gone" and port == 0:
             raise UpdateError(f"{where}.addr: must be host:port")
         if state not in STATES:
             raise UpdateError(f"{where}.state: unknown: {state[:40]!r}")
-        server = described(entry, where, name, "started_ms", STATES[state])
+        server = server_from_fields(entry, where, name, "started_ms", STATES[state])
         return server, Endpoint(host, port, server.online_since_ms)
 
     def _store(self, servers: list[tuple[interface.Server, Endpoint]], full: bool) -> tuple[interface.Server, ...]:
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -18,7 +18,7 @@
 from rushweir.ingress import commands
 from rushweir.ingress.core import Core
 from rushweir.ingress.shell import Clock, Shell, calm_collector
-from rushweir.logs.decisions import Limiter
+from rushweir.logs.limiter import Limiter
 from rushweir.policy import Policy
 
 LOG_LINES_PER_S, LOG_BURST_LINES = 2.0, 20  # limits for each cause
@@ -38,7 +38,7 @@
     def emit(self, event: commands.LogEvent) -> None:
         """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
-        allowed, left_out = self.limiter.may(now, event.cause)
+        allowed, left_out = self.limiter.allow(now, event.cause)
         if allowed:
             line = {"at": round(now), "level": event.level, "cause": event.cause, **event.fields}
             if left_out:
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -216,7 +216,7 @@
 
     def _handle_message(self, text: bytes | str) -> None:
         try:
-            message = rpc.read(text, self.settings.max_batch)
+            message = rpc.parse(text, self.settings.max_batch)
         except rpc.RpcError as problem:
             if problem.code == rpc.PARSE_ERROR and isinstance(text, bytes) and not is_utf8(text):
                 assert self.messages is not None  # RFC 6455, 8.1: text that is not UTF-8 fails the connection
@@ -341,7 +341,7 @@
         if (
             not batch_answers.left and batch_answers.answers
         ):  # JSON-RPC 2.0, 6: no array for a batch of notifications only
-            self._send_text(rpc.array(batch_answers.answers))
+            self._send_text(rpc.batch_reply(batch_answers.answers))
 
     def _send_text(self, text: bytes) -> None:
         if self.messages is not None:
--- a/rushweir/ingress/known_nodes.py
+++ b/rushweir/ingress/known_nodes.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from rushweir import interface as i
-from rushweir.discovery import kept
-from rushweir.discovery.source import Update, UpdateError, apply
+from rushweir.discovery import saved_list
+from rushweir.discovery.source import Update, UpdateError, apply_update
 from rushweir.ingress import commands as c
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     def load(self, last_list: bytes) -> None:
         """The list as it was kept on disk."""
         try:
-            servers, self.drained_by_hand = kept.load(last_list)
+            servers, self.drained_by_hand = saved_list.load(last_list)
         except UpdateError as problem:
             self.core.log_event(c.LogEvent("error", "kept_list_refused", {"why": str(problem)}))
         else:
@@ -39,7 +39,7 @@
             self.core.counts["list_failed"] += 1
             self.core.engine.members(self.core.now, update.scope)
             return
-        self.listed = apply(self.listed, update)
+        self.listed = apply_update(self.listed, update)
         self.drained_by_hand &= self.listed.keys()
         self.publish(update)
         if update.scope is not i.Scope.CACHED:
@@ -56,13 +56,13 @@
             for s in update.servers
         )
         self.core.engine.members(self.core.now, update.scope, servers)
-        self.effective = apply(self.effective, Update(update.scope, update.version, servers))
+        self.effective = apply_update(self.effective, Update(update.scope, update.version, servers))
         self.core.pool.notified(self.core.now, {a: s.state for a, s in self.effective.items()})
         self.core.telemetry.set_nodes(self.effective)
 
     def _keep(self) -> None:
         if not self.core.draining and self.core.setup.keep_list:
-            self.core.commands.append(c.SaveList(kept.dump(self.listed, self.drained_by_hand, self.core.now)))
+            self.core.commands.append(c.SaveList(saved_list.dump(self.listed, self.drained_by_hand, self.core.now)))
 
     def drain(self, address: str, on: bool) -> bool:
         """Drain a node by hand, or readmit it, as if the list had said so; whether the list has such a node.
--- a/rushweir/lab/bench.py
+++ b/rushweir/lab/bench.py
@@ -56,7 +56,7 @@
         up = Messages(client_protocol(f"ws://{host}:{port}{path}", 1 << 20))
         up.connect({})
         up_writer.write(b"".join(up.take()[0]))
-        while not up.shake(await up_reader.read(65536)):
+        while not up.receive_handshake(await up_reader.read(65536)):
             pass
         self.serial += 1
         peer = Peer(self, writer, self.serial)
--- a/rushweir/lab/scale/plants.py
+++ b/rushweir/lab/scale/plants.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rushweir import interface as i
-from rushweir.discovery.source import as_entry
+from rushweir.discovery.source import server_to_entry
 from rushweir.fleet import frame as f
 from rushweir.fleet.members import Members
 from rushweir.lab.scale import hollow, nodes
@@ -41,7 +41,7 @@
     tell = nodes.Listing._tell
 
     def planted(self: nodes.Listing, peer: Any, params: dict[str, Any], states: dict[str, str]) -> None:
-        every = [as_entry(s) for s in self.servers.values()]
+        every = [server_to_entry(s) for s in self.servers.values()]
         tell(self, peer, {"scope": "full", "version": self.version, "servers": every}, states)
 
     nodes.Listing._tell = planted
--- a/rushweir/lab/scale/pure_counter.py
+++ b/rushweir/lab/scale/pure_counter.py
@@ -72,7 +72,7 @@
     def block() -> None:
         for _ in range(CALLS):
             client.add(float(next(numbers)), 1_000_000_007, 1.0, 60_000.0)
-            client.message(rpc.read(rpc.result(client.number, {"value": 12.5})))
+            client.message(rpc.parse(rpc.result(client.number, {"value": 12.5})))
         client.ended.clear()
 
     yield Sample(role, "call_cpu", "us", by, size, cpu(block) / CALLS * 1e6, "core")
--- a/rushweir/lab/scale/pure_watch.py
+++ b/rushweir/lab/scale/pure_watch.py
@@ -23,7 +23,7 @@
 from rushweir.lab.scale.pure_settings import settings_text
 from rushweir.lab.scale.samples import Role, Sample
 from rushweir.link import rpc
-from rushweir.logs.decisions import Limiter
+from rushweir.logs.limiter import Limiter
 from rushweir.logs.log import Log
 from rushweir.policy import Policy
 from rushweir.watch.telemetry import Telemetry
--- a/rushweir/lab/standins/client.py
+++ b/rushweir/lab/standins/client.py
@@ -47,7 +47,7 @@
             self.flush()
             while True:
                 data = await self.reader.read(65536)
-                opened = self.messages.shake(data) if data else False
+                opened = self.messages.receive_handshake(data) if data else False
                 if opened:
                     break
                 if opened is False:
@@ -118,7 +118,7 @@
             self.writer.close()
 
     def _message(self, text: bytes | str) -> None:
-        message = rpc.read(text, 100_000)
+        message = rpc.parse(text, 100_000)
         for reply in message.calls if isinstance(message, rpc.Batch) else (message,):
             if not isinstance(reply, rpc.Reply):
                 continue
--- a/rushweir/lab/standins/nodelist.py
+++ b/rushweir/lab/standins/nodelist.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rushweir import interface as i
-from rushweir.discovery.source import as_entry
+from rushweir.discovery.source import server_to_entry
 from rushweir.lab.records import Recorder, clock
 from rushweir.lab.standins.server import Peer, RpcServer
 from rushweir.link import rpc
@@ -34,7 +34,7 @@
         else:
             self.servers[address] = new
         base, self.version = self.version, self.version + 1
-        params = {"scope": "delta", "base": base, "version": self.version, "servers": [as_entry(new)]}
+        params = {"scope": "delta", "base": base, "version": self.version, "servers": [server_to_entry(new)]}
         for peer in list(self.watchers.values()):
             self._tell(peer, params, {address: state})
 
@@ -58,7 +58,7 @@
         self.watchers.pop(peer.number, None)
 
     def _whole(self, peer: Peer) -> None:
-        entries = [as_entry(s) for s in self.servers.values()]
+        entries = [server_to_entry(s) for s in self.servers.values()]
         params = {"scope": "full", "version": self.version, "servers": entries}
         self._tell(peer, params, {s.address: s.state.value for s in self.servers.values()})
 
--- a/rushweir/lab/standins/server.py
+++ b/rushweir/lab/standins/server.py
@@ -148,7 +148,7 @@
 
     def _read(self, peer: Peer, text: Any) -> None:
         try:
-            message = rpc.read(text)
+            message = rpc.parse(text)
         except rpc.RpcError as problem:
             peer.send(problem.answer())
             return
--- a/rushweir/link/networks.py
+++ b/rushweir/link/networks.py
@@ -15,7 +15,7 @@
 Network = IPv4Network | IPv6Network
 
 
-def network(word: object) -> Network:
+def parse_network(word: object) -> Network:
     """``10.0.0.0/8``, ``2001:db8::/32``, or one address. Raises ValueError; bits beyond the prefix are an error,
     since nobody can say which of the two was meant."""
     try:
--- a/rushweir/link/rpc.py
+++ b/rushweir/link/rpc.py
@@ -64,7 +64,7 @@
     calls: tuple[Call | Reply | RpcError, ...]
 
 
-def read(text: bytes | str, most: int = 1000) -> Call | Reply | Batch:
+def parse(text: bytes | str, most: int = 1000) -> Call | Reply | Batch:
     """One message. Raises RpcError; ``most`` bounds the members of a batch."""
     try:
         message = orjson.loads(text)
@@ -133,6 +133,6 @@
     return orjson.dumps({"jsonrpc": "2.0", "id": id, "error": problem})
 
 
-def array(answers: list[bytes]) -> bytes:
+def batch_reply(answers: list[bytes]) -> bytes:
     """The answer to a batch: one array, in any order (6)."""
     return b"[" + b",".join(answers) + b"]"
--- a/rushweir/link/upstream.py
+++ b/rushweir/link/upstream.py
@@ -43,16 +43,16 @@
         seed: int,
         new_conn: Callable[[Any], int],
         at: Callable[[float, Callable[..., None], Any], None],
-        pause_ms: tuple[float, float],
-        connect_ms: float,
-        ping_ms: float,
+        retry_delay_ms: tuple[float, float],
+        connect_timeout_ms: float,
+        ping_interval_ms: float,
         max_message: int,
         deflate: bool = False,
     ) -> None:
-        """``pause_ms``: before the link is tried again, the first time and at most."""
+        """``retry_delay_ms``: before the link is tried again, the first time and at most."""
         self.owner, self.url, self.headers, self.rng = owner, url, headers, random.Random(seed)
-        self.new_conn, self.at, self.pauses, self.pause = new_conn, at, pause_ms, pause_ms[0]
-        self.connect_ms, self.ping_ms = connect_ms, ping_ms
+        self.new_conn, self.at, self.pauses, self.pause = new_conn, at, retry_delay_ms, retry_delay_ms[0]
+        self.connect_timeout_ms, self.ping_interval_ms = connect_timeout_ms, ping_interval_ms
         self.max_message, self.deflate = max_message, deflate
         self.state, self.conn, self.writable, self.stopped = AWAY, 0, True, False
         self.messages: Messages | None = None
@@ -111,13 +111,13 @@
             return
         self.quiet = 0
         if self.state is HANDSHAKE:
-            opened = self.messages.shake(data)
+            opened = self.messages.receive_handshake(data)
             if opened is False:
                 self._lost()
             if not opened:
                 return
             self.state, self.pause, self.writable = OPEN, self.pauses[0], True
-            self.at(now + self.ping_ms, self._ping, conn)
+            self.at(now + self.ping_interval_ms, self._ping, conn)
             self.owner.opened()
             texts = self.messages.messages() if self.messages else []
         else:
@@ -138,7 +138,7 @@
 
     def _message(self, text: bytes | str) -> None:
         try:
-            message = rpc.read(text)
+            message = rpc.parse(text)
         except rpc.RpcError as problem:
             self.owner.bad_message(str(problem))
             return
@@ -152,8 +152,8 @@
         if self.state is AWAY and not self.stopped:
             where = urlsplit(self.url)
             self.state, self.conn = DIALING, self.new_conn(self)
-            self.out.append(c.Dial(self.conn, where.hostname or "", where.port or 80, self.connect_ms))
-            self.at(self.now + self.connect_ms, self._dial_late, self.conn)
+            self.out.append(c.Dial(self.conn, where.hostname or "", where.port or 80, self.connect_timeout_ms))
+            self.at(self.now + self.connect_timeout_ms, self._dial_late, self.conn)
 
     def _dial_late(self, conn: int) -> None:
         if conn == self.conn and self.state in (DIALING, HANDSHAKE):
@@ -181,7 +181,7 @@
         self.quiet += 1
         self.messages.ping()
         self._flush()
-        self.at(self.now + self.ping_ms, self._ping, conn)
+        self.at(self.now + self.ping_interval_ms, self._ping, conn)
 
     def _flush(self) -> None:
         if self.messages is not None:
--- a/rushweir/link/websocket.py
+++ b/rushweir/link/websocket.py
@@ -76,7 +76,7 @@
             request.headers[name] = value
         self.proto.send_request(request)
 
-    def shake(self, data: bytes) -> bool | None:
+    def receive_handshake(self, data: bytes) -> bool | None:
         """The client's side: bytes of the handshake's response; None until it is whole, then whether the
         connection is open. Messages that came with it are read by ``messages``."""
         self.proto.receive_data(data)
--- a/rushweir/logs/decisions.py
+++ b/rushweir/logs/limiter.py
@@ -29,12 +29,12 @@
         self.per_s, self.at_once = per_s, at_once
         self.buckets: dict[str, Bucket] = {}
 
-    def may(self, now: float, cause: str) -> tuple[bool, int]:
+    def allow(self, now: float, cause: str) -> tuple[bool, int]:
         """Whether a line of this cause is written now, and how many were left out before it."""
         bucket = self.buckets.get(cause)
         if bucket is None:
             if len(self.buckets) >= MOST_CAUSES and cause != REST:
-                return self.may(now, REST)
+                return self.allow(now, REST)
             bucket = self.buckets[cause] = Bucket(self.at_once, now)
         bucket.tokens = min(self.at_once, bucket.tokens + (now - bucket.at) * self.per_s / 1000)
         bucket.at = now
--- a/rushweir/logs/log.py
+++ b/rushweir/logs/log.py
@@ -9,7 +9,7 @@
 import structlog
 
 from rushweir.ingress.commands import LogEvent
-from rushweir.logs.decisions import Limiter
+from rushweir.logs.limiter import Limiter
 from rushweir.logs.sink import Sink
 
 LEVELS = logging.getLevelNamesMapping()
@@ -48,9 +48,9 @@
 
     def __init__(self, sink: Sink, clock: Callable[[], float], limiter: Limiter, form: str, level: str) -> None:
         self.sink, self.clock = sink, clock
-        self.adopt(limiter, form, level)
+        self.apply_settings(limiter, form, level)
 
-    def adopt(self, limiter: Limiter, form: str, level: str) -> None:
+    def apply_settings(self, limiter: Limiter, form: str, level: str) -> None:
         """Other settings from now on."""
         self.limiter, self.least = limiter, LEVELS[level.upper()]
         last = structlog.processors.JSONRenderer() if form == "json" else _text_last
@@ -66,7 +66,7 @@
     def event(self, level: str, cause: str, /, **fields: Any) -> None:
         if LEVELS[level.upper()] < self.least:
             return
-        write, left_out = self.limiter.may(self.clock(), cause)
+        write, left_out = self.limiter.allow(self.clock(), cause)
         if write:
             more = {"left_out": left_out} if left_out else {}
             getattr(self.logger, level)(cause, **fields, **more)
@@ -76,7 +76,7 @@
         fields = {f"{k}_" if k in TAKEN else k: v for k, v in event.fields.items()}
         self.event(event.level, event.cause, **fields)
 
-    def tell_left_out(self) -> None:
+    def report_suppressed(self) -> None:
         """To be called now and then: lines left out of causes that have gone quiet."""
         for cause, count in self.limiter.overdue(self.clock()):
             self.logger.warning("left_out", cause=cause, count=count)
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -46,7 +46,7 @@
         self.settings, self.headers = settings, headers
         self.nodes: dict[str, Node] = {}
         self.links: dict[int, Link] = {}
-        self.where: dict[int, Link] = {}  # attempts not ended, by identity
+        self.link_by_attempt: dict[int, Link] = {}  # attempts not ended, by identity
 
     # --- what the engine wants -------------------------------------------------------------------
 
@@ -67,7 +67,7 @@
             self._end(attempt, i.Result.SUPERSEDED)
             return
         link.waiting[id(attempt)] = attempt
-        self.where[id(attempt)] = link
+        self.link_by_attempt[id(attempt)] = link
         if link.state is OPEN and link.writable:
             self._hand_over(link)
 
@@ -198,7 +198,7 @@
             self._gone(link, abort=True)
 
     def _handshake(self, link: Link, data: bytes) -> None:
-        opened = link.messages.shake(data)
+        opened = link.messages.receive_handshake(data)
         if opened:
             link.state = OPEN
             link.idle_since = self.now
@@ -232,7 +232,7 @@
 
     def _message(self, link: Link, text: bytes | str) -> None:
         try:
-            message = rpc.read(text, self.settings.streams)
+            message = rpc.parse(text, self.settings.streams)
         except rpc.RpcError:
             self.counts["bad_messages"] += 1
             link.node.strays += 1
@@ -263,13 +263,13 @@
                 self.counts["stray_answers"] += 1
             return
         link.idle_since = self.now
-        self.where.pop(id(attempt), None)
+        self.link_by_attempt.pop(id(attempt), None)
         self.ended.append(ended(attempt, reply))
         if link.waiting:
             self._hand_over(link)
 
     def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
-        link = self.where.get(id(attempt))
+        link = self.link_by_attempt.get(id(attempt))
         if link is None:
             return
         if link.waiting.pop(id(attempt), None) is not None:
@@ -288,11 +288,11 @@
             self._hand_over(link)
 
     def _held_back(self, attempt: c.Attempt) -> bool:
-        link = self.where.get(id(attempt))
+        link = self.link_by_attempt.get(id(attempt))
         return link is not None and id(attempt) in link.waiting
 
     def _end(self, attempt: c.Attempt, result: i.Result) -> None:
-        self.where.pop(id(attempt), None)
+        self.link_by_attempt.pop(id(attempt), None)
         self.ended.append(c.AttemptEnded(attempt, result))
 
     def _gone(self, link: Link, abort: bool = False) -> None:
--- a/rushweir/rollout/control_channel.py
+++ b/rushweir/rollout/control_channel.py
@@ -60,7 +60,7 @@
     def read(self, text: bytes | str) -> list[Any] | None:
         """Return a body; None: a message of the handshake, see ``state``. Raises ChannelError."""
         try:
-            return self.take(rpc.read(text, 1))
+            return self.take(rpc.parse(text, 1))
         except rpc.RpcError as problem:
             raise ChannelError(f"no message: {problem}") from None
 
--- a/rushweir/rollout/watch_mail.py
+++ b/rushweir/rollout/watch_mail.py
@@ -63,7 +63,7 @@
 def read(text: bytes | str, key: bytes) -> tuple[str, dict[str, Any]]:
     """Method and fields. Raises MailError."""
     try:
-        message = rpc.read(text)
+        message = rpc.parse(text)
         if not isinstance(message, rpc.Call) or not isinstance(message.params, dict):
             raise MailError("no notification")
         body = b64decode(message.params["body"], validate=True)
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -43,7 +43,7 @@
     def add(self, name: int, amount: float = 1.0) -> None:
         self.client.add(self.now, name, amount, 60_000.0)
         if self.server is not None:
-            self.calls += [rpc.read(t) for t in self.server.receive(self.written())]
+            self.calls += [rpc.parse(t) for t in self.server.receive(self.written())]
 
     def answer(self, k: int, text: bytes | None = None, value: float = 1.0) -> None:
         self.server.send(text or rpc.result(self.calls[k].id, {"value": value}))
--- a/tests/discovery/test_list.py
+++ b/tests/discovery/test_list.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from rushweir import interface as i
-from rushweir.discovery import kept
+from rushweir.discovery import saved_list
 from rushweir.discovery.pushed import FETCH_MS, PushedList
-from rushweir.discovery.source import Update, UpdateError, apply, as_entry, server, servers
+from rushweir.discovery.source import Update, UpdateError, apply_update, server, server_to_entry, servers
 from rushweir.ingress import commands as c
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
@@ -49,10 +49,10 @@
         self.list.link.received(self.list.link.now, self.list.link.conn, b"".join(self.server.take()[0]))
 
     def calls(self) -> list[tuple[str, dict]]:
-        return [(m.method, m.params) for m in map(rpc.read, self.server.receive(self.written()))]
+        return [(m.method, m.params) for m in map(rpc.parse, self.server.receive(self.written()))]
 
     def update(self, scope="full", base=None, version=1, entries=(A,), raw=None) -> list[Update]:
-        params = {"scope": scope, "version": version, "servers": [as_entry(s) for s in entries]}
+        params = {"scope": scope, "version": version, "servers": [server_to_entry(s) for s in entries]}
         params |= {} if base is None else {"base": base}
         self.server.send(raw if raw is not None else rpc.call("list.update", params))
         self.push()
@@ -65,7 +65,7 @@
     assert s.calls() == [("list.watch", {"from": -1, "on": True})]
     (full,) = s.update(entries=(A, B))
     (delta,) = s.update("delta", 1, 2, (i.Server(A.address, state=i.State.GONE),))
-    held = apply(apply({}, full), delta)
+    held = apply_update(apply_update({}, full), delta)
     assert held == {B.address: B} and s.list.version == 2
 
 
@@ -74,13 +74,15 @@
     [
         b'{"jsonrpc":"2.0","method":"list.update","params":{"scope":"full","vers',
         rpc.call("list.update", {"scope": "full", "version": 9, "servers": [{"address": "nix"}]}),
-        rpc.call("list.update", {"scope": "full", "version": 9, "servers": [as_entry(A), as_entry(A)]}),
+        rpc.call("list.update", {"scope": "full", "version": 9, "servers": [server_to_entry(A), server_to_entry(A)]}),
         rpc.call("list.update", {"scope": "full", "version": 9}),
         rpc.call("list.update", {"scope": "some", "version": 9, "servers": []}),
         rpc.call("list.update", {"scope": "full", "version": "9", "servers": []}),
         rpc.call("list.update", {"scope": "delta", "base": 5, "version": 6, "servers": []}),
-        rpc.call("list.update", {"scope": "full", "version": 9, "servers": [{**as_entry(A), "state": "asleep"}]}),
-        rpc.call("list.update", {"scope": "full", "version": 9, "servers": [{**as_entry(A), "weight": -1}]}),
+        rpc.call(
+            "list.update", {"scope": "full", "version": 9, "servers": [{**server_to_entry(A), "state": "asleep"}]}
+        ),
+        rpc.call("list.update", {"scope": "full", "version": 9, "servers": [{**server_to_entry(A), "weight": -1}]}),
         rpc.call("list.update", [1]),
         b"nonsense",
     ],
@@ -146,21 +148,21 @@
 
 def test_the_kept_list_comes_back():
     held = {s.address: s for s in (A, B)}
-    servers, by_hand = kept.load(kept.dump(held, {A.address, "gone:1"}, 1.0))
+    servers, by_hand = saved_list.load(saved_list.dump(held, {A.address, "gone:1"}, 1.0))
     assert {s.address: s for s in servers} == held and by_hand == {A.address}
 
 
 @settings(max_examples=80, deadline=None)
 @given(cut=st.integers(0, 400), at=st.integers(0, 500), byte=st.integers(0, 255))
 def test_a_torn_or_altered_copy_is_refused_whole(cut, at, byte):
-    data = kept.dump({s.address: s for s in (A, B)}, {A.address}, 1.0)
+    data = saved_list.dump({s.address: s for s in (A, B)}, {A.address}, 1.0)
     if cut < len(data):
         with pytest.raises(UpdateError):
-            kept.load(data[:cut])
+            saved_list.load(data[:cut])
     changed = bytearray(data)
     changed[at % len(data)] = byte
     try:
-        found, by_hand = kept.load(bytes(changed))
+        found, by_hand = saved_list.load(bytes(changed))
     except UpdateError:
         return
     assert set(found) == {A, B} and by_hand == {A.address}  # only what does not matter was altered (written_ms)
@@ -168,4 +170,4 @@
 
 def test_a_kept_list_of_another_format():
     with pytest.raises(UpdateError, match="format"):
-        kept.load(orjson.dumps({"format": 1}))
+        saved_list.load(orjson.dumps({"format": 1}))
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -42,7 +42,7 @@
         self.client = Messages(client_protocol("ws://x/dispatch", 1 << 20, deflate))
         self.client.connect({"Authorization": f"Bearer {TOKEN}"})
         self.front.receive(b"".join(self.client.take()[0]))
-        assert self.client.shake(output(self.front))
+        assert self.client.receive_handshake(output(self.front))
 
     def send(self, *texts: bytes) -> list:
         for text in texts:
--- a/tests/ingress/test_reload.py
+++ b/tests/ingress/test_reload.py
@@ -10,7 +10,7 @@
 from rushweir.ingress.queries import Partner
 from rushweir.lab.standins.client import kind
 from rushweir.lab.standins.model import NodeKind
-from rushweir.link.networks import AddressSet, network
+from rushweir.link.networks import AddressSet, parse_network
 
 from .conftest import PARTNERS
 from .test_hard_cases import why
@@ -127,7 +127,7 @@
 def test_nodes_outside_the_networks_are_not_taken(place):
     async def body(p):
         await p.nodes(2)
-        p.more = {"node_networks": AddressSet([network("10.0.0.0/8")])}
+        p.more = {"node_networks": AddressSet([parse_network("10.0.0.0/8")])}
         await p.start(ready=0)
         await p.until(lambda: p.core.counts["strange_nodes"] == 2)
         assert not p.core.nodes.effective and len(p.core.nodes.listed) == 2
@@ -143,7 +143,7 @@
 def test_clients_outside_the_networks_are_told_and_closed(place):
     async def body(p):
         await p.nodes(1)
-        p.more = {"client_networks": AddressSet([network("10.0.0.0/8")])}
+        p.more = {"client_networks": AddressSet([parse_network("10.0.0.0/8")])}
         await p.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", int(p.url.split(":")[2].split("/")[0]))
         writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/link/test_networks.py
+++ b/tests/link/test_networks.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushweir.link.networks import AddressSet, network
+from rushweir.link.networks import AddressSet, parse_network
 
 
 def nets(*texts):
-    return [network(t) for t in texts]
+    return [parse_network(t) for t in texts]
 
 
 @pytest.mark.parametrize(
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from rushweir.ingress.commands import LogEvent
-from rushweir.logs.decisions import MOST_CAUSES, REST, TELL_MS, Limiter
+from rushweir.logs.limiter import MOST_CAUSES, REST, TELL_MS, Limiter
 from rushweir.logs.log import Log
 from rushweir.logs.sink import Sink
 
@@ -56,10 +56,10 @@
     for _ in range(5):
         log.event("warning", "x")
     now.ms = TELL_MS - 1
-    log.tell_left_out()
+    log.report_suppressed()
     now.ms = TELL_MS
-    log.tell_left_out()
-    log.tell_left_out()
+    log.report_suppressed()
+    log.report_suppressed()
     found = [json.loads(x) for x in lines()]
     assert [(x["event"], x.get("count")) for x in found] == [("x", None), ("left_out", 4)]
 
@@ -71,7 +71,7 @@
     for wait, cause in steps:
         now += wait
         asked += 1
-        write, left = limiter.may(now, cause)
+        write, left = limiter.allow(now, cause)
         wrote += write
         told += left
         told += sum(n for _, n in limiter.overdue(now))
@@ -82,7 +82,7 @@
 def test_causes_are_bounded():
     limiter = Limiter(1.0, 1)
     for k in range(MOST_CAUSES * 3):
-        limiter.may(0.0, f"c{k}")
+        limiter.allow(0.0, f"c{k}")
     assert len(limiter.buckets) == MOST_CAUSES + 1 and REST in limiter.buckets
 
 
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -57,7 +57,7 @@
             self.nodes[conn] = Messages(proto)
         else:
             for text in node.receive(data):
-                self.calls.append((conn, rpc.read(text)))
+                self.calls.append((conn, rpc.parse(text)))
 
     def up(self, conn: int | None = None) -> int:
         """A dial succeeds, and the handshake."""
@@ -306,4 +306,4 @@
         assert w.results() == [i.Result.CONNECT_FAILED] and a
     w.pool.notified(1000.0, {})
     w.pool.notified(1000.0 + 62_000.0, {})
-    assert not w.pool.nodes and not w.pool.links and not w.pool.where
+    assert not w.pool.nodes and not w.pool.links and not w.pool.link_by_attempt
