--- a/rushweir/discovery/__init__.py
+++ b/rushweir/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of nodes comes from: sources behind one interface, and the copy kept on disk. No I/O."""
+"""Discovery of nodes: sources of the node list behind one interface, and the copy saved on disk. No I/O."""
--- a/rushweir/discovery/source.py
+++ b/rushweir/discovery/source.py
@@ -1,4 +1,4 @@
-"""What every source of nodes gives: whole, checked updates. xDS and DNS SRV plug in here too. No I/O."""
+"""The interface of all sources of nodes: complete, checked updates. xDS and DNS SRV can be added here. No I/O."""
 
 from __future__ import annotations
 
@@ -6,120 +6,128 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from rushweir import interface as i
+from rushweir import interface
 
-MAX_SERVERS = 20_000  # of one list: bounds what a broken source can make an ingress hold
-MAX_TEXT_LENGTH = 255
+MAX_SERVERS = 20_000  # of one list: bounds the memory that a faulty source can take
+MAX_TEXT_LENGTH = 255  # characters of one field
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """One update, as the policy gets it; ``version`` is the source's own."""
+    """One update of the list, as the policy gets it; ``version`` is the source's own."""
 
-    scope: i.Scope
+    scope: interface.Scope
     version: int
-    servers: tuple[i.Server, ...] = ()
+    servers: tuple[interface.Server, ...] = ()
 
 
 class UpdateError(ValueError):
-    """An update that is not taken, none of it; the text names the entry and the field."""
+    """An update that is rejected as a whole; the text names the entry and the field."""
 
 
 class Source(Protocol):
-    """A source of nodes. ``updates`` is emptied by whoever drives it."""
+    """A source of nodes. Its caller takes the updates out of ``updates``."""
 
     updates: list[Update]
 
     def watch(self, now: float, on: bool) -> None:
-        """Ask for changes from now on; what was missed comes first."""
+        """Subscribe to changes or unsubscribe; after subscribing, changes missed before come first."""
 
     def fetch(self, now: float) -> None:
-        """Ask for the whole list once."""
+        """Request the full list once."""
 
 
-def server(entry: Any, where: str) -> i.Server:
-    """One entry of a list, checked. Raises UpdateError."""
+def parse_server(entry: Any, path: str) -> interface.Server:
+    """Checks one entry of a list. ``path`` names it in errors. Raises UpdateError."""
     if not isinstance(entry, dict):
-        raise UpdateError(f"{where}: an object")
-    address = text_field(entry, "address", where)
+        raise UpdateError(f"{path}: must be an object")
+    address = text_field(entry, "address", path)
     if split_host_port(address)[1] == 0:
-        raise UpdateError(f"{where}.address: host:port, not {address[:80]!r}")
+        raise UpdateError(f"{path}.address: must be host:port, not {address[:80]!r}")
     try:
-        state = i.State(entry.get("state", "ready"))
+        state = interface.State(entry.get("state", "ready"))
     except ValueError:
-        raise UpdateError(f"{where}.state: ready, draining or gone, not {str(entry['state'])[:40]!r}") from None
-    return server_from_fields(entry, where, address, "online_since_ms", state)
+        raise UpdateError(
+            f"{path}.state: must be ready, draining or gone, not {str(entry['state'])[:40]!r}"
+        ) from None
+    return server_from_fields(entry, path, address, "online_since_ms", state)
 
 
-def server_from_fields(entry: dict[str, Any], where: str, address: str, since: str, state: i.State) -> i.Server:
-    """A server with what all sources say of one in the same words; ``since`` names the field of its start."""
+def server_from_fields(
+    entry: dict[str, Any], path: str, address: str, start_field: str, state: interface.State
+) -> interface.Server:
+    """Returns a server from the fields that all sources share. ``start_field`` names the field with the time of its
+    start. Raises UpdateError."""
     cell = entry.get("cell", 0)
     if type(cell) is not int or cell < 0:
-        raise UpdateError(f"{where}.cell: a whole number from 0")
-    return i.Server(
+        raise UpdateError(f"{path}.cell: must be an integer of at least 0")
+    return interface.Server(
         address=address,
-        zone=text_field(entry, "zone", where, ""),
+        zone=text_field(entry, "zone", path, ""),
         cell=cell,
-        online_since_ms=number(entry, since, where, 0.0),
-        weight=number(entry, "weight", where, 1.0),
-        kind=text_field(entry, "kind", where, ""),
+        online_since_ms=number_field(entry, start_field, path, 0.0),
+        weight=number_field(entry, "weight", path, 1.0),
+        kind=text_field(entry, "kind", path, ""),
         state=state,
     )
 
 
 def split_host_port(address: str) -> tuple[str, int]:
-    """Host, without the brackets of IPv6, and port of ``host:port``; no host and port 0 where the text is none."""
+    """Returns the host, without the brackets of IPv6, and the port of ``host:port``; ("", 0) if it is malformed."""
     host, _, port = address.rpartition(":")
-    # Other digits than these pass for some in Unicode, and int() raises for a few of them.
-    known = host and port.isascii() and port.isdigit() and int(port) < 65536
-    return (host.strip("[]"), int(port)) if known else ("", 0)
+    # isdigit() accepts other Unicode digits too, and int() raises ValueError for a few of them.
+    valid = host and port.isascii() and port.isdigit() and int(port) < 65536
+    return (host.strip("[]"), int(port)) if valid else ("", 0)
 
 
-def servers(entries: Any, where: str = "servers") -> tuple[i.Server, ...]:
-    """All entries of a list. Raises UpdateError; no address may stand twice."""
+def parse_servers(entries: Any, path: str = "servers") -> tuple[interface.Server, ...]:
+    """Checks all entries of a list; each address may occur once. Raises UpdateError."""
     if not isinstance(entries, list):
-        raise UpdateError(f"{where}: an array")
+        raise UpdateError(f"{path}: must be an array")
     if len(entries) > MAX_SERVERS:
-        raise UpdateError(f"{where}: {MAX_SERVERS} entries at most")
-    found = tuple(server(e, f"{where}[{k}]") for k, e in enumerate(entries))
-    seen: set[str] = set()
-    for k, s in enumerate(found):
-        if s.address in seen:
-            raise UpdateError(f"{where}[{k}].address: {s.address} stands twice")
-        seen.add(s.address)
-    return found
-
-
-def server_to_entry(s: i.Server) -> dict[str, Any]:
-    """A server as ``server`` reads it."""
+        raise UpdateError(f"{path}: must have at most {MAX_SERVERS} entries")
+    servers = tuple(parse_server(entry, f"{path}[{index}]") for index, entry in enumerate(entries))
+    addresses: set[str] = set()
+    for index, server in enumerate(servers):
+        if server.address in addresses:
+            raise UpdateError(f"{path}[{index}].address: duplicate address {server.address}")
+        addresses.add(server.address)
+    return servers
+
+
+def server_to_entry(server: interface.Server) -> dict[str, Any]:
+    """Returns a server as the entry that ``parse_server`` reads."""
     return {
-        "address": s.address, "zone": s.zone, "cell": s.cell, "online_since_ms": s.online_since_ms,
-        "weight": s.weight, "kind": s.kind, "state": s.state.value,
+        "address": server.address, "zone": server.zone, "cell": server.cell,
+        "online_since_ms": server.online_since_ms, "weight": server.weight, "kind": server.kind,
+        "state": server.state.value,
     }  # fmt: skip
 
 
-def apply_update(held: dict[str, i.Server], update: Update) -> dict[str, i.Server]:
-    """The list after an update. A failed one leaves it as it is."""
-    if update.scope is i.Scope.FAILED:
-        return held
-    new = dict(held) if update.scope is i.Scope.DELTA else {}
-    for s in update.servers:
-        if s.state is i.State.GONE:
-            new.pop(s.address, None)
+def apply_update(current: dict[str, interface.Server], update: Update) -> dict[str, interface.Server]:
+    """Returns the servers by address after an update; a failed one changes nothing."""
+    if update.scope is interface.Scope.FAILED:
+        return current
+    updated = dict(current) if update.scope is interface.Scope.DELTA else {}
+    for server in update.servers:
+        if server.state is interface.State.GONE:
+            updated.pop(server.address, None)
         else:
-            new[s.address] = s
-    return new
+            updated[server.address] = server
+    return updated
 
 
-def text_field(entry: dict[str, Any], name: str, where: str, default: str | None = None) -> str:
+def text_field(entry: dict[str, Any], name: str, path: str, default: str | None = None) -> str:
+    """Returns a field with text, which may be empty only if there is a default. Raises UpdateError."""
     value = entry.get(name, default)
     if type(value) is not str or len(value) > MAX_TEXT_LENGTH or (default is None and not value):
-        raise UpdateError(f"{where}.{name}: text of at most {MAX_TEXT_LENGTH} characters")
+        raise UpdateError(f"{path}.{name}: must be text of at most {MAX_TEXT_LENGTH} characters")
     return value
 
 
-def number(entry: dict[str, Any], name: str, where: str, default: float) -> float:
+def number_field(entry: dict[str, Any], name: str, path: str, default: float) -> float:
+    """Returns a field with a number from 0 to below 1e15. Raises UpdateError."""
     value = entry.get(name, default)
     if type(value) not in (int, float) or not math.isfinite(value) or not 0 <= value < 1e15:
-        raise UpdateError(f"{where}.{name}: a number from 0")
+        raise UpdateError(f"{path}.{name}: must be a number of at least 0")
     return float(value)
