--- a/rushweir/logs/__init__.py
+++ b/rushweir/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Logs: what is written, how often, and how it leaves the process without holding it up."""
+"""Logs: which events are written, how often, and how lines leave the process without blocking it."""
--- a/rushweir/logs/limiter.py
+++ b/rushweir/logs/limiter.py
@@ -1,56 +1,58 @@
-"""Which events are written: so many of each cause, the rest counted. No I/O, no clock.
+"""Limits how many events of each cause are written, and counts the others. No I/O, no clock.
 
-A node that refuses connections makes the same line thousands of times a second, and the line that matters is the
-other one. So each cause has a token bucket of its own; what was left out is told with the next line of that cause,
-or when its bucket has been quiet for a while.
+A node that refuses connections causes the same line thousands of times a second, which must not suppress other lines.
+So each cause has a token bucket of its own. The number of suppressed events is written with the next line of that
+cause, or after some time without one.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MOST_CAUSES = 256  # causes are fixed texts of the program; should they ever be more, the rest share one bucket
-REST = "other_causes"
-TELL_MS = 10_000.0  # what was left out is told at the latest after this
+MAX_CAUSES = 256  # causes are fixed texts of the program; any beyond these share one bucket
+OTHER_CAUSES = "other_causes"
+REPORT_DELAY_MS = 10_000.0  # suppressed events are reported at the latest after this time
 
 
 @dataclass(slots=True)
 class Bucket:
+    """The token bucket of one cause. Times are in milliseconds."""
+
     tokens: float
-    at: float
-    left_out: int = 0
-    since: float = 0.0  # when the first of these came
+    updated_at: float
+    suppressed: int = 0
+    suppressed_since: float = 0.0  # time of the first suppressed event
 
 
 class Limiter:
-    """Token buckets of lines, by cause."""
+    """Token buckets of log events, by cause."""
 
-    def __init__(self, per_s: float, at_once: int) -> None:
-        self.per_s, self.at_once = per_s, at_once
+    def __init__(self, per_s: float, burst: int) -> None:
+        self.per_s, self.burst = per_s, burst
         self.buckets: dict[str, Bucket] = {}
 
     def allow(self, now: float, cause: str) -> tuple[bool, int]:
-        """Whether a line of this cause is written now, and how many were left out before it."""
+        """Returns whether an event of this cause is written now, and how many were suppressed before it."""
         bucket = self.buckets.get(cause)
         if bucket is None:
-            if len(self.buckets) >= MOST_CAUSES and cause != REST:
-                return self.allow(now, REST)
-            bucket = self.buckets[cause] = Bucket(self.at_once, now)
-        bucket.tokens = min(self.at_once, bucket.tokens + (now - bucket.at) * self.per_s / 1000)
-        bucket.at = now
+            if len(self.buckets) >= MAX_CAUSES and cause != OTHER_CAUSES:
+                return self.allow(now, OTHER_CAUSES)
+            bucket = self.buckets[cause] = Bucket(self.burst, now)
+        bucket.tokens = min(self.burst, bucket.tokens + (now - bucket.updated_at) * self.per_s / 1000)
+        bucket.updated_at = now
         if bucket.tokens < 1:
-            bucket.since = bucket.since if bucket.left_out else now
-            bucket.left_out += 1
+            bucket.suppressed_since = bucket.suppressed_since if bucket.suppressed else now
+            bucket.suppressed += 1
             return False, 0
         bucket.tokens -= 1
-        left, bucket.left_out = bucket.left_out, 0
-        return True, left
+        count, bucket.suppressed = bucket.suppressed, 0
+        return True, count
 
     def overdue(self, now: float) -> list[tuple[str, int]]:
-        """Causes whose lines were left out some time ago, and how many; told now, and counted anew."""
-        found = []
+        """Returns the causes whose suppressed events are due for a report, with their number, and resets it."""
+        overdue = []
         for cause, bucket in self.buckets.items():
-            if bucket.left_out and now - bucket.since >= TELL_MS:
-                found.append((cause, bucket.left_out))
-                bucket.left_out = 0
-        return found
+            if bucket.suppressed and now - bucket.suppressed_since >= REPORT_DELAY_MS:
+                overdue.append((cause, bucket.suppressed))
+                bucket.suppressed = 0
+        return overdue
