--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -1,10 +1,10 @@
 """The pool of connections to nodes, without I/O: attempts in, writes and outcomes out.
 
-Each node has up to ``max_links`` WebSocket connections, each carrying up to ``streams`` attempts at once as
-JSON-RPC requests. An attempt goes to the open connection with the fewest attempts, else to one that is being
-opened, else opens one. It waits at its connection until that is open and takes writes; what was never
-handed over to the connection for writing never ran, and that is exact: the shell reports each connection
-that holds back writes, and nothing is handed to it meanwhile. docs/outcomes.md maps what is seen to results.
+Each node has up to ``max_links`` WebSocket connections, each carrying up to ``streams`` attempts at once as JSON-RPC
+requests. An attempt is assigned to the open connection with the fewest attempts, else to one that is being opened,
+else to a new one. It waits there until the connection is open and accepts writes. An attempt that was never written
+to its connection never ran, and this is exact: the shell reports each congested connection, and nothing is written
+to it meanwhile. docs/outcomes.md maps observations to results.
 
     dialing --dialed--> handshake --101--> open --close--> closing --> gone
        |                    |               |
@@ -18,22 +18,22 @@
 
 from websockets.frames import CloseCode
 
-from rushweir import interface as i
-from rushweir.ingress import commands as c
+from rushweir import interface
+from rushweir.ingress import commands
 from rushweir.ingress.pool import BasePool
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, client_protocol
-from rushweir.nodes.answers import ended
-from rushweir.nodes.answers import load as load_of
+from rushweir.nodes.answers import attempt_ended, parse_load
 from rushweir.nodes.links import CLOSING, DIALING, GONE, HANDSHAKE, OPEN, Link, Node, PoolSettings
 
-MOST_LATE = 2048  # ids that a connection remembers after their attempts were given up, to know late answers
+MAX_ABANDONED = 2048  # ids that a connection remembers of attempts given up, to recognise late answers
 CANCEL = "rpc.cancel"  # a notification: names that begin with "rpc." are for extensions (JSON-RPC 2.0, 8)
 PROBE = "rpc.probe"
 
 
 class Pool(BasePool):
-    """All nodes of one ingress. ``out`` holds orders for the shell, ``ended`` what became of attempts."""
+    """The connections of one ingress to all nodes. ``out``: commands for the shell; ``ended``: attempts and probes
+    that ended. Times are in milliseconds."""
 
     def __init__(
         self,
@@ -46,63 +46,67 @@
         self.settings, self.headers = settings, headers
         self.nodes: dict[str, Node] = {}
         self.links: dict[int, Link] = {}
-        self.link_by_attempt: dict[int, Link] = {}  # attempts not ended, by identity
+        self.link_by_attempt: dict[int, Link] = {}  # of attempts that have not ended, by their identity
 
-    # --- what the engine wants -------------------------------------------------------------------
+    # --- called by the engine --------------------------------------------------------------------
 
-    def send(self, now: float, attempt: c.Attempt) -> None:
+    def send(self, now: float, attempt: commands.Attempt) -> None:
+        """Sends an attempt to its node, or ends it at once if that is not possible."""
         self.now = now
         node = self._node(attempt.node)
         if node is None:
-            self._end(attempt, i.Result.CONNECT_FAILED)
+            self._end_attempt(attempt, interface.Result.CONNECT_FAILED)
             return
-        if self._cut_off(node):
+        if self._is_cut_off(node):
             self.counts["cut_off"] += 1
-            self._end(attempt, i.Result.SUPERSEDED)
+            self._end_attempt(attempt, interface.Result.SUPERSEDED)
             return
         link = self._link_for(node)
         if link is None:
-            # All connections that may be opened are full: the cap is this side's, and nothing was sent.
+            # All connections that may be opened are full: the limit is local, and nothing was sent.
             self.counts["no_stream"] += 1
-            self._end(attempt, i.Result.SUPERSEDED)
+            self._end_attempt(attempt, interface.Result.SUPERSEDED)
             return
         link.waiting[id(attempt)] = attempt
         self.link_by_attempt[id(attempt)] = link
         if link.state is OPEN and link.writable:
-            self._hand_over(link)
+            self._write_waiting(link)
 
-    def probe(self, now: float, server: str) -> None:
+    def probe(self, now: float, address: str) -> None:
+        """Probes a node over a connection that is open."""
         self.now = now
-        node = self._node(server)
-        link = next((k for k in node.links if k.state is OPEN and k.writable), None) if node else None
+        node = self._node(address)
+        link = next((link for link in node.links if link.state is OPEN and link.writable), None) if node else None
         if link is None or len(link.probes) >= self.settings.streams:
-            # A probe that would have to open a connection first would tell of the dial, not of the node.
-            self.ended.append(c.ProbeEnded(server, i.Result.CONNECT_FAILED, 0.0))
+            # A probe that opened a connection first would measure the dial and not the node.
+            self.ended.append(commands.ProbeEnded(address, interface.Result.CONNECT_FAILED, 0.0))
             return
-        link.serial += 1
-        link.probes[link.serial] = now
-        link.messages.send(rpc.call(PROBE, {}, link.serial))
+        link.last_id += 1
+        link.probes[link.last_id] = now
+        link.messages.send(rpc.call(PROBE, {}, link.last_id))
         self._flush(link)
-        self.at(now + self.settings.probe_timeout_ms, self._probe_late, (link, link.serial))
+        self.at(now + self.settings.probe_timeout_ms, self._on_probe_timeout, (link, link.last_id))
 
-    def notified(self, now: float, servers: dict[str, i.State]) -> None:
-        """The list as it now stands: what is not ready, or not in it, gets nothing after the grace."""
+    def notified(self, now: float, states: dict[str, interface.State]) -> None:
+        """Takes the current list, as states by address: after the grace time nothing is written to a node that is not
+        ready or not listed."""
         self.now = now
-        for address, state in servers.items():
-            if state is i.State.READY:
+        for address, state in states.items():
+            if state is interface.State.READY:
                 if (node := self.nodes.get(address)) is not None:
-                    node.closed_at = None
+                    node.unavailable_since = None
             else:
                 node = self.nodes.setdefault(address, Node(address))
-                node.closed_at = now if node.closed_at is None else node.closed_at
+                node.unavailable_since = now if node.unavailable_since is None else node.unavailable_since
         for address, node in self.nodes.items():
-            if address not in servers and node.closed_at is None:
-                node.closed_at = now
-        self._forget()
+            if address not in states and node.unavailable_since is None:
+                node.unavailable_since = now
+        self._remove_gone_nodes()
 
-    # --- what happens to connections -------------------------------------------------------------
+    # --- called by the shell ---------------------------------------------------------------------
 
     def dialed(self, now: float, conn: int) -> None:
+        """A connection was opened; the handshake follows."""
         self.now = now
         link = self.links.get(conn)
         if link is None or link.state is not DIALING:
@@ -112,46 +116,50 @@
         self._flush(link)
 
     def dial_failed(self, now: float, conn: int) -> None:
+        """A connection could not be opened."""
         self.now = now
         if (link := self.links.get(conn)) is not None:
             link.node.dial_failures += 1
-            self._gone(link)
+            self._end_link(link)
 
     def received(self, now: float, conn: int, data: bytes) -> None:
+        """Bytes were read from a connection."""
         self.now = now
         link = self.links.get(conn)
         if link is None:
             return
-        link.heard += 1
-        link.pinged = False
+        link.reads += 1
+        link.ping_sent = False
         if link.state is HANDSHAKE:
-            self._handshake(link, data)
+            self._handle_handshake(link, data)
             return
         for text in link.messages.receive(data):
-            self._message(link, text)
+            self._handle_message(link, text)
         self._flush(link)
         if not link.messages.open and link.state is OPEN:
-            # The node closes or broke the protocol: no further answers come (RFC 6455, 1.4).
-            self._gone(link)
+            # The node closes, or violated the protocol: no further answers come (RFC 6455, 1.4).
+            self._end_link(link)
 
     def lost(self, now: float, conn: int) -> None:
-        """The connection ended, in whichever way."""
+        """A connection ended, in any way."""
         self.now = now
         if (link := self.links.get(conn)) is not None:
-            self._gone(link)
+            self._end_link(link)
 
     def congested(self, conn: int) -> None:
+        """A connection accepts no more writes until it is drained."""
         if (link := self.links.get(conn)) is not None:
             link.writable = False
 
     def drained(self, now: float, conn: int) -> None:
+        """A congested connection accepts writes again."""
         self.now = now
         if (link := self.links.get(conn)) is not None and not link.writable:
             link.writable = True
             if link.state is OPEN:
-                self._hand_over(link)
+                self._write_waiting(link)
 
-    # --- inside ----------------------------------------------------------------------------------
+    # --- internal --------------------------------------------------------------------------------
 
     def _node(self, address: str) -> Node | None:
         node = self.nodes.get(address)
@@ -162,23 +170,25 @@
             node = self.nodes[address] = Node(address)
         return node
 
-    def _cut_off(self, node: Node) -> bool:
-        return node.closed_at is not None and self.now >= node.closed_at + self.settings.grace_ms
+    def _is_cut_off(self, node: Node) -> bool:
+        return node.unavailable_since is not None and self.now >= node.unavailable_since + self.settings.grace_ms
 
     def _link_for(self, node: Node) -> Link | None:
-        s = self.settings
-        # Writable ones first, then fewest attempts; order of birth breaks ties, so equal events act alike.
-        able = [k for k in node.links if k.state is OPEN and k.writable and k.load < s.streams]
-        if able:
-            return min(able, key=lambda k: k.load)
-        opening = [k for k in node.links if k.state in (DIALING, HANDSHAKE) and k.load < s.streams]
+        settings = self.settings
+        # Writable links first, then the fewest attempts; ties go to the oldest, so that equal events act alike.
+        available = [
+            link for link in node.links if link.state is OPEN and link.writable and link.load < settings.streams
+        ]
+        if available:
+            return min(available, key=lambda link: link.load)
+        opening = [link for link in node.links if link.state in (DIALING, HANDSHAKE) and link.load < settings.streams]
         if opening:
             return opening[0]
-        live = [k for k in node.links if k.state is not CLOSING]
-        if len(live) < s.max_links:
+        not_closing = [link for link in node.links if link.state is not CLOSING]
+        if len(not_closing) < settings.max_links:
             return self._dial(node)
-        held = [k for k in live if k.state is OPEN and k.load < s.streams]
-        return min(held, key=lambda k: k.load) if held else None
+        congested = [link for link in not_closing if link.state is OPEN and link.load < settings.streams]
+        return min(congested, key=lambda link: link.load) if congested else None
 
     def _dial(self, node: Node) -> Link:
         host, _, port = node.address.rpartition(":")
@@ -188,147 +198,147 @@
         self.links[link.conn] = link
         node.links.append(link)
         self.counts["dials"] += 1
-        self.out.append(c.Dial(link.conn, host.strip("[]"), int(port), self.settings.connect_timeout_ms))
-        self.at(self.now + self.settings.connect_timeout_ms, self._connect_late, link)
+        self.out.append(commands.Dial(link.conn, host.strip("[]"), int(port), self.settings.connect_timeout_ms))
+        self.at(self.now + self.settings.connect_timeout_ms, self._on_connect_timeout, link)
         return link
 
-    def _connect_late(self, link: Link) -> None:
+    def _on_connect_timeout(self, link: Link) -> None:
         if link.state in (DIALING, HANDSHAKE):
             link.node.dial_failures += 1
-            self._gone(link, abort=True)
+            self._end_link(link, abort=True)
 
-    def _handshake(self, link: Link, data: bytes) -> None:
+    def _handle_handshake(self, link: Link, data: bytes) -> None:
         opened = link.messages.receive_handshake(data)
         if opened:
             link.state = OPEN
             link.idle_since = self.now
-            self._idle_check(link)
-            self._ping_check(link)
-            self._hand_over(link)
+            self._check_idle(link)
+            self._check_ping(link)
+            self._write_waiting(link)
             for text in link.messages.messages():
-                self._message(link, text)
+                self._handle_message(link, text)
         elif opened is False:
             self.counts["handshake_refused"] += 1
             link.node.dial_failures += 1
-            self._gone(link, abort=True)
+            self._end_link(link, abort=True)
 
-    def _hand_over(self, link: Link) -> None:
-        """Give what waits to the connection, oldest first. From here on an attempt may have run."""
-        cut_off = bool(link.waiting) and self._cut_off(link.node)
+    def _write_waiting(self, link: Link) -> None:
+        """Writes waiting attempts to the connection, oldest first. From here on an attempt may have run."""
+        cut_off = bool(link.waiting) and self._is_cut_off(link.node)
         while link.waiting and len(link.streams) < self.settings.streams:
             _, attempt = link.waiting.popitem(last=False)
             if cut_off or not self.wanted(attempt):
                 self.counts["cut_off"] += cut_off
-                self._end(attempt, i.Result.SUPERSEDED)
+                self._end_attempt(attempt, interface.Result.SUPERSEDED)
                 continue
-            link.serial += 1
-            link.streams[link.serial] = attempt
+            link.last_id += 1
+            link.streams[link.last_id] = attempt
             params = {**attempt.payload, "request": attempt.request_id, "attempt": attempt.number,
                       "within_ms": max(0.0, attempt.deadline_ms - self.now)}  # fmt: skip
-            # Marks this ingress's own repeats where the client named none.
+            # Identifies repeats of this ingress where the client set no key.
             params.setdefault("key", attempt.request_id)
-            link.messages.send(rpc.call(attempt.method, params, link.serial))
+            link.messages.send(rpc.call(attempt.method, params, link.last_id))
         self._flush(link)
 
-    def _message(self, link: Link, text: bytes | str) -> None:
+    def _handle_message(self, link: Link, text: bytes | str) -> None:
         try:
             message = rpc.parse(text, self.settings.streams)
         except rpc.RpcError:
             self.counts["bad_messages"] += 1
-            link.node.strays += 1
+            link.node.unexpected_messages += 1
             return
         for reply in message.calls if isinstance(message, rpc.Batch) else (message,):
             if isinstance(reply, rpc.Reply):
-                self._reply(link, reply)
-            else:  # a node asks nothing of an ingress
+                self._handle_reply(link, reply)
+            else:  # nodes send no requests to an ingress
                 self.counts["bad_messages"] += 1
-                link.node.strays += 1
+                link.node.unexpected_messages += 1
 
-    def _reply(self, link: Link, reply: rpc.Reply) -> None:
+    def _handle_reply(self, link: Link, reply: rpc.Reply) -> None:
         if reply.id in link.probes:
-            spent = self.now - link.probes.pop(reply.id)
+            spent_ms = self.now - link.probes.pop(reply.id)
             load = reply.result.get("load") if isinstance(reply.result, dict) else None
-            result = i.Result.OK if reply.error is None else i.Result.ERROR
-            self.ended.append(c.ProbeEnded(link.node.address, result, spent, load_of(load)))
+            result = interface.Result.OK if reply.error is None else interface.Result.ERROR
+            self.ended.append(commands.ProbeEnded(link.node.address, result, spent_ms, parse_load(load)))
             return
         attempt = link.streams.pop(reply.id, None) if isinstance(reply.id, int) else None
         if attempt is None:
-            # An answer to an attempt given up is late, any other is a stray: a second answer, or a wrong id.
-            # Neither may reach a client; a node that sends strays is counted for the operators.
-            if isinstance(reply.id, int) and link.late.pop(reply.id, None) is not None:
-                link.node.late += 1
+            # An answer to an attempt given up is late; any other is unmatched: a second answer, or a wrong id.
+            # Neither may reach a client; unmatched ones are counted by node for the operators.
+            if isinstance(reply.id, int) and link.abandoned.pop(reply.id, None) is not None:
+                link.node.late_answers += 1
                 self.counts["late_answers"] += 1
             else:
-                link.node.strays += 1
+                link.node.unexpected_messages += 1
                 self.counts["stray_answers"] += 1
             return
         link.idle_since = self.now
         self.link_by_attempt.pop(id(attempt), None)
-        self.ended.append(ended(attempt, reply))
+        self.ended.append(attempt_ended(attempt, reply))
         if link.waiting:
-            self._hand_over(link)
+            self._write_waiting(link)
 
-    def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
+    def _give_up(self, attempt: commands.Attempt, result: interface.Result) -> None:
         link = self.link_by_attempt.get(id(attempt))
         if link is None:
             return
         if link.waiting.pop(id(attempt), None) is not None:
-            self._end(attempt, i.Result.SUPERSEDED)  # never handed over: it never ran
+            self._end_attempt(attempt, interface.Result.SUPERSEDED)  # never written: it never ran
             return
-        number = next(n for n, a in link.streams.items() if a is attempt)
+        number = next(number for number, sent in link.streams.items() if sent is attempt)
         del link.streams[number]
-        link.late[number] = attempt
-        while len(link.late) > MOST_LATE:
-            link.late.popitem(last=False)
+        link.abandoned[number] = attempt
+        while len(link.abandoned) > MAX_ABANDONED:
+            link.abandoned.popitem(last=False)
         if link.writable:
             link.messages.send(rpc.call(CANCEL, {"id": number}))
             self._flush(link)
-        self._end(attempt, result)
+        self._end_attempt(attempt, result)
         if link.waiting and link.state is OPEN and link.writable:
-            self._hand_over(link)
+            self._write_waiting(link)
 
-    def _held_back(self, attempt: c.Attempt) -> bool:
+    def _held_back(self, attempt: commands.Attempt) -> bool:
         link = self.link_by_attempt.get(id(attempt))
         return link is not None and id(attempt) in link.waiting
 
-    def _end(self, attempt: c.Attempt, result: i.Result) -> None:
+    def _end_attempt(self, attempt: commands.Attempt, result: interface.Result) -> None:
         self.link_by_attempt.pop(id(attempt), None)
-        self.ended.append(c.AttemptEnded(attempt, result))
+        self.ended.append(commands.AttemptEnded(attempt, result))
 
-    def _gone(self, link: Link, abort: bool = False) -> None:
-        """A connection is over. What waited on it never ran; what was handed over may have."""
+    def _end_link(self, link: Link, abort: bool = False) -> None:
+        """Ends a connection. Attempts that waited on it never ran; those written to it may have."""
         if link.state is GONE:
             return
         link.state = GONE
         self.links.pop(link.conn, None)
         if link in link.node.links:
             link.node.links.remove(link)
-        self.out.append(c.AbortConnection(link.conn) if abort else c.CloseConnection(link.conn, 100.0))
+        self.out.append(commands.AbortConnection(link.conn) if abort else commands.CloseConnection(link.conn, 100.0))
         for attempt in list(link.waiting.values()):
-            self._end(attempt, i.Result.CONNECT_FAILED)
+            self._end_attempt(attempt, interface.Result.CONNECT_FAILED)
         for attempt in list(link.streams.values()):
-            self._end(attempt, i.Result.RESET)
-        for sent in link.probes.values():
-            self.ended.append(c.ProbeEnded(link.node.address, i.Result.RESET, self.now - sent))
+            self._end_attempt(attempt, interface.Result.RESET)
+        for sent_at in link.probes.values():
+            self.ended.append(commands.ProbeEnded(link.node.address, interface.Result.RESET, self.now - sent_at))
         link.waiting.clear()
         link.streams.clear()
         link.probes.clear()
-        link.late.clear()
+        link.abandoned.clear()
 
     def _flush(self, link: Link) -> None:
         writes, end = link.messages.take()
         if writes:
-            self.out.append(c.Write(link.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
+            self.out.append(commands.Write(link.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and link.state is not GONE:
-            self.out.append(c.CloseConnection(link.conn, 100.0))
+            self.out.append(commands.CloseConnection(link.conn, 100.0))
 
-    def _probe_late(self, what: tuple[Link, int]) -> None:
-        link, number = what
-        if (sent := link.probes.pop(number, None)) is not None:
-            self.ended.append(c.ProbeEnded(link.node.address, i.Result.TIMEOUT, self.now - sent))
+    def _on_probe_timeout(self, probe: tuple[Link, int]) -> None:
+        link, number = probe
+        if (sent_at := link.probes.pop(number, None)) is not None:
+            self.ended.append(commands.ProbeEnded(link.node.address, interface.Result.TIMEOUT, self.now - sent_at))
 
-    def _idle_check(self, link: Link) -> None:
-        """Close a connection that carried nothing for a while (each costs the node a part of its capacity)."""
+    def _check_idle(self, link: Link) -> None:
+        """Closes a connection that has been idle for some time, since each costs the node some of its capacity."""
         if link.state is not OPEN:
             return
         if link.load or link.probes:
@@ -338,39 +348,40 @@
             link.state = CLOSING
             link.messages.close(CloseCode.NORMAL_CLOSURE, "idle")
             self._flush(link)
-            self.at(self.now + 1000.0, self._closing_late, link)
+            self.at(self.now + 1000.0, self._on_close_timeout, link)
         else:
-            self.at(due, self._idle_check, link)
+            self.at(due, self._check_idle, link)
 
-    def _closing_late(self, link: Link) -> None:
-        self._gone(link, abort=True)
+    def _on_close_timeout(self, link: Link) -> None:
+        self._end_link(link, abort=True)
 
-    def _ping_check(self, link: Link) -> None:
-        """With attempts out and nothing heard, ask whether the other side lives: a machine that fell silent
-        sends no reset, and its connections would take attempts for ever."""
+    def _check_ping(self, link: Link) -> None:
+        """Pings a node that is silent while attempts are in flight, and ends the connection if no answer comes: a
+        machine that fails sends no reset, and its connections would take attempts for ever."""
         if link.state is not OPEN:
             return
-        if link.streams or link.late:
-            if link.pinged:
+        if link.streams or link.abandoned:
+            if link.ping_sent:
                 self.counts["silent_links"] += 1
-                self._gone(link, abort=True)
+                self._end_link(link, abort=True)
                 return
-            link.pinged = True
+            link.ping_sent = True
             link.messages.ping()
             self._flush(link)
-        self.at(self.now + self.settings.ping_ms, self._ping_check, link)
+        self.at(self.now + self.settings.ping_ms, self._check_ping, link)
 
-    def _forget(self) -> None:
-        """Nodes gone from the list with no connection left are dropped, so that the table stays bounded."""
-        for address in [a for a, n in self.nodes.items() if not n.links and self._cut_off(n)]:
-            # An attempt to such an address is refused by the policy, which no longer has it in its list.
-            if self.nodes[address].closed_at + 60_000.0 < self.now:
+    def _remove_gone_nodes(self) -> None:
+        """Removes nodes that are gone from the list and have no connection, so that the table stays bounded."""
+        for address in [address for address, node in self.nodes.items() if not node.links and self._is_cut_off(node)]:
+            # The policy sends no attempts to such an address, since its list no longer has it.
+            if self.nodes[address].unavailable_since + 60_000.0 < self.now:
                 del self.nodes[address]
 
     def close_all(self, now: float) -> None:
+        """Closes all connections as the ingress stops."""
         self.now = now
         for link in list(self.links.values()):
             if link.state is OPEN:
                 link.messages.close(CloseCode.GOING_AWAY, "ingress stops")
                 self._flush(link)
-            self._gone(link)
+            self._end_link(link)
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -1,11 +1,11 @@
-"""What a socket shows, as results: each way in which an attempt can end, driven without any socket."""
+"""Each way in which an attempt can end, and its result; driven without sockets."""
 
 from __future__ import annotations
 
 import pytest
 
-from rushweir import interface as i
-from rushweir.ingress import commands as c
+from rushweir import interface
+from rushweir.ingress import commands
 from rushweir.link import rpc
 from rushweir.link.websocket import Messages, server_protocol
 from rushweir.nodes.pool import Pool, PoolSettings
@@ -13,297 +13,306 @@
 NODE = "127.0.0.1:9001"
 
 
-class Wire:
+class Harness:
     """A pool, and a node at the other end of each of its connections."""
 
     def __init__(self, **settings) -> None:
-        self.timers, self.conns, self.now = [], 0, 0.0
-        self.pool = Pool(PoolSettings(**settings), {}, self.new_conn, lambda at, f, x: self.timers.append((at, f, x)))
+        self.timers, self.connections, self.now = [], 0, 0.0
+        self.pool = Pool(
+            PoolSettings(**settings),
+            {},
+            self.new_conn,
+            lambda at, function, argument: self.timers.append((at, function, argument)),
+        )
         self.nodes: dict[int, Messages] = {}
         self.calls: list[tuple[int, rpc.Call]] = []
-        self.dials: list[c.Dial] = []
-        self.over: set[int] = set()
+        self.dials: list[commands.Dial] = []
+        self.closed: set[int] = set()
         self.serial = 0
 
     def new_conn(self, owner) -> int:
-        self.conns += 1
-        return self.conns
+        self.connections += 1
+        return self.connections
 
-    def attempt(self, until: float = 1e9, cls: str = "look", node: str = NODE) -> c.Attempt:
+    def attempt(self, deadline_ms: float = 1e9, method: str = "look", node: str = NODE) -> commands.Attempt:
         self.serial += 1
-        a = c.Attempt(f"r{self.serial}", 0, node, self.now, until, {"data": None}, cls)
-        self.pool.send(self.now, a)
-        self.carry()
-        return a
+        attempt = commands.Attempt(f"r{self.serial}", 0, node, self.now, deadline_ms, {"data": None}, method)
+        self.pool.send(self.now, attempt)
+        self.execute()
+        return attempt
 
-    def carry(self) -> None:
-        """Carry out orders; a dial waits for ``dialed``."""
+    def execute(self) -> None:
+        """Executes the pool's commands; a dial waits for ``open``."""
         while self.pool.out:
-            order = self.pool.out.pop(0)
-            if isinstance(order, c.Dial):
-                self.dials.append(order)
-            elif isinstance(order, c.Write):
-                self.read(order.conn, order.data)
+            command = self.pool.out.pop(0)
+            if isinstance(command, commands.Dial):
+                self.dials.append(command)
+            elif isinstance(command, commands.Write):
+                self.read(command.conn, command.data)
             else:
-                self.over.add(order.conn)
+                self.closed.add(command.conn)
 
     def read(self, conn: int, data: bytes) -> None:
         node = self.nodes.get(conn)
         if node is None:
-            proto = server_protocol(1 << 20)
-            proto.receive_data(data)
-            (request,) = proto.events_received()
-            proto.send_response(proto.accept(request))
-            self.nodes[conn] = Messages(proto)
+            protocol = server_protocol(1 << 20)
+            protocol.receive_data(data)
+            (request,) = protocol.events_received()
+            protocol.send_response(protocol.accept(request))
+            self.nodes[conn] = Messages(protocol)
         else:
             for text in node.receive(data):
                 self.calls.append((conn, rpc.parse(text)))
 
-    def up(self, conn: int | None = None) -> int:
-        """A dial succeeds, and the handshake."""
+    def open(self, conn: int | None = None) -> int:
+        """Completes a dial and its handshake; the last dial if none is given."""
         conn = conn or self.dials[-1].conn
         self.pool.dialed(self.now, conn)
-        self.carry()
-        self.answer_bytes(conn)
+        self.execute()
+        self.send_output(conn)
         return conn
 
-    def answer_bytes(self, conn: int) -> None:
+    def send_output(self, conn: int) -> None:
         writes, _ = self.nodes[conn].take()
         self.pool.received(self.now, conn, b"".join(writes))
-        self.carry()
+        self.execute()
 
     def answer(self, conn: int, text: bytes) -> None:
         self.nodes[conn].send(text)
-        self.answer_bytes(conn)
+        self.send_output(conn)
 
     def ended(self) -> list:
-        out, self.pool.ended = self.pool.ended, []
-        return out
+        ended, self.pool.ended = self.pool.ended, []
+        return ended
 
-    def results(self) -> list[i.Result]:
-        return [e.result for e in self.ended()]
+    def results(self) -> list[interface.Result]:
+        return [end.result for end in self.ended()]
 
     def tick(self, now: float) -> None:
         self.now = self.pool.now = now
-        due = [t for t in self.timers if t[0] <= now]
-        self.timers = [t for t in self.timers if t[0] > now]
-        for _, f, x in due:
-            f(x)
-        self.carry()
-
-
-def test_a_refused_connect_never_ran():
-    w = Wire()
-    w.attempt()
-    w.pool.dial_failed(0.0, w.dials[0].conn)
-    assert w.results() == [i.Result.CONNECT_FAILED] and not w.calls
-
-
-def test_a_connect_or_handshake_too_late_never_ran():
-    w = Wire(connect_timeout_ms=250.0)
-    w.attempt()
-    w.tick(249.0)
-    assert not w.ended()
-    w.tick(250.0)
-    assert w.results() == [i.Result.CONNECT_FAILED] and w.dials[0].conn in w.over
-    w.attempt()
-    w.pool.dialed(w.now, w.dials[1].conn)  # TCP is there, but no answer to the handshake
-    w.carry()
-    w.tick(600.0)
-    assert w.results() == [i.Result.CONNECT_FAILED] and not w.calls
-
-
-def test_a_refused_handshake_never_ran():
-    w = Wire()
-    w.attempt()
-    conn = w.dials[0].conn
-    w.pool.dialed(0.0, conn)
-    w.pool.received(0.0, conn, b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-    assert w.results() == [i.Result.CONNECT_FAILED]
-
-
-def test_answers():
-    w = Wire()
-    attempts = [w.attempt() for _ in range(6)]
-    conn = w.up()
-    assert len(w.dials) == 1 and [x.method for _, x in w.calls] == ["look"] * 6
-    ids = [x.id for _, x in w.calls]
-    w.answer(conn, rpc.result(ids[0], {"data": 5, "cost": 2, "used": 7, "load": {"util": 0.5}}))
-    w.answer(conn, rpc.error(ids[1], rpc.NODE_FULL, "full"))
-    w.answer(conn, rpc.error(ids[2], rpc.NODE_ERROR, "broken"))
-    w.answer(conn, rpc.error(ids[3], rpc.INTERNAL_ERROR, "broken"))
-    w.answer(conn, rpc.error(ids[4], 404, "no such ride"))
-    w.answer(conn, rpc.result(ids[5], 17))
-    ended = w.ended()
-    assert [e.result.value for e in ended] == ["ok", "full", "error", "error", "ok", "ok"]
+        due = [timer for timer in self.timers if timer[0] <= now]
+        self.timers = [timer for timer in self.timers if timer[0] > now]
+        for _, function, argument in due:
+            function(argument)
+        self.execute()
+
+
+def test_refused_connection_is_connect_failed():
+    harness = Harness()
+    harness.attempt()
+    harness.pool.dial_failed(0.0, harness.dials[0].conn)
+    assert harness.results() == [interface.Result.CONNECT_FAILED] and not harness.calls
+
+
+def test_connect_or_handshake_timeout_is_connect_failed():
+    harness = Harness(connect_timeout_ms=250.0)
+    harness.attempt()
+    harness.tick(249.0)
+    assert not harness.ended()
+    harness.tick(250.0)
+    assert harness.results() == [interface.Result.CONNECT_FAILED] and harness.dials[0].conn in harness.closed
+    harness.attempt()
+    harness.pool.dialed(harness.now, harness.dials[1].conn)  # TCP connects, but the handshake is not answered
+    harness.execute()
+    harness.tick(600.0)
+    assert harness.results() == [interface.Result.CONNECT_FAILED] and not harness.calls
+
+
+def test_refused_handshake_is_connect_failed():
+    harness = Harness()
+    harness.attempt()
+    conn = harness.dials[0].conn
+    harness.pool.dialed(0.0, conn)
+    harness.pool.received(0.0, conn, b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+    assert harness.results() == [interface.Result.CONNECT_FAILED]
+
+
+def test_replies_give_results():
+    harness = Harness()
+    attempts = [harness.attempt() for _ in range(6)]
+    conn = harness.open()
+    assert len(harness.dials) == 1 and [call.method for _, call in harness.calls] == ["look"] * 6
+    ids = [call.id for _, call in harness.calls]
+    harness.answer(conn, rpc.result(ids[0], {"data": 5, "cost": 2, "used": 7, "load": {"util": 0.5}}))
+    harness.answer(conn, rpc.error(ids[1], rpc.NODE_FULL, "full"))
+    harness.answer(conn, rpc.error(ids[2], rpc.NODE_ERROR, "broken"))
+    harness.answer(conn, rpc.error(ids[3], rpc.INTERNAL_ERROR, "broken"))
+    harness.answer(conn, rpc.error(ids[4], 404, "no such ride"))
+    harness.answer(conn, rpc.result(ids[5], 17))
+    ended = harness.ended()
+    assert [end.result.value for end in ended] == ["ok", "full", "error", "error", "ok", "ok"]
     first = ended[0]
     assert (first.body, first.cost, first.quota_used, first.load) == (("result", 5), 2.0, 7, {"util": 0.5})
     assert ended[4].body == ("error", {"code": 404, "message": "no such ride"})
-    assert ended[5].body == ("result", 17) and [e.attempt for e in ended] == attempts
+    assert ended[5].body == ("result", 17) and [end.attempt for end in ended] == attempts
 
 
-def test_costs_that_are_no_sensible_figure_tell_nothing():
-    w = Wire()
+def test_implausible_costs_count_as_zero():
+    harness = Harness()
     for _ in range(6):
-        w.attempt()
-    conn = w.up()
-    for (_, call), cost in zip(list(w.calls), (-1, 0, 1e300, "3", True, None), strict=True):
-        w.answer(conn, rpc.result(call.id, {"data": 1, "cost": cost}))
-    assert [e.cost for e in w.ended()] == [0.0] * 6
-
-
-def test_lost_after_the_write_may_have_run_and_before_it_never_ran():
-    w = Wire(max_links=1)
-    first = w.attempt()
-    conn = w.up()
-    w.pool.congested(conn)  # the connection holds back writes
-    second = w.attempt()
-    assert [x.method for _, x in w.calls] == ["look"]
-    w.pool.lost(0.0, conn)
-    results = {id(e.attempt): e.result for e in w.ended()}
-    assert results == {id(first): i.Result.RESET, id(second): i.Result.CONNECT_FAILED}
-
-
-def test_what_waits_is_written_when_the_connection_drained():
-    w = Wire(max_links=1)
-    w.attempt()
-    conn = w.up()
-    w.pool.congested(conn)
-    w.attempt()
-    w.pool.drained(1.0, conn)
-    w.carry()
-    assert len(w.calls) == 2 and not w.ended()
-
-
-def test_time_up_or_cancelled():
-    w = Wire(max_links=1)
-    out = w.attempt()
-    conn = w.up()
-    w.pool.congested(conn)
-    waiting = w.attempt()
-    w.pool.expire(5.0, waiting)
-    assert w.results() == [i.Result.SUPERSEDED]  # it was never written
-    w.pool.drained(5.0, conn)
-    w.pool.expire(6.0, out)
-    w.carry()
-    assert w.results() == [i.Result.TIMEOUT]
-    assert w.calls[-1][1].method == "rpc.cancel" and w.calls[-1][1].id is None
-    other = w.attempt()
-    w.pool.cancel(7.0, other)
-    assert w.results() == [i.Result.CANCELLED]
-    w.pool.cancel(8.0, other)  # it is over: nothing more
-    w.pool.expire(8.0, other)
-    assert not w.ended()
-
-
-def test_late_second_and_stray_answers_reach_nobody():
-    w = Wire()
-    a = w.attempt()
-    conn = w.up()
-    w.pool.expire(1.0, a)
-    w.carry()
-    w.ended()
-    w.answer(conn, rpc.result(w.calls[0][1].id, {}))
-    w.answer(conn, rpc.result(w.calls[0][1].id, {}))
-    w.answer(conn, rpc.result(99, {}))
-    w.answer(conn, rpc.result("1", {}))
-    w.answer(conn, b'{"jsonrpc":"2.0"')
-    w.answer(conn, rpc.call("look", {}, 5))
-    assert not w.ended()
-    assert (w.pool.counts["late_answers"], w.pool.counts["stray_answers"], w.pool.counts["bad_messages"]) == (1, 3, 2)
-
-
-def test_streams_links_and_the_cap():
-    w = Wire(streams=2, max_links=2)
+        harness.attempt()
+    conn = harness.open()
+    for (_, call), cost in zip(list(harness.calls), (-1, 0, 1e300, "3", True, None), strict=True):
+        harness.answer(conn, rpc.result(call.id, {"data": 1, "cost": cost}))
+    assert [end.cost for end in harness.ended()] == [0.0] * 6
+
+
+def test_lost_connection_resets_written_attempts_and_fails_waiting_ones():
+    harness = Harness(max_links=1)
+    first = harness.attempt()
+    conn = harness.open()
+    harness.pool.congested(conn)  # no more writes are accepted
+    second = harness.attempt()
+    assert [call.method for _, call in harness.calls] == ["look"]
+    harness.pool.lost(0.0, conn)
+    results = {id(end.attempt): end.result for end in harness.ended()}
+    assert results == {id(first): interface.Result.RESET, id(second): interface.Result.CONNECT_FAILED}
+
+
+def test_waiting_attempt_is_written_when_the_connection_drained():
+    harness = Harness(max_links=1)
+    harness.attempt()
+    conn = harness.open()
+    harness.pool.congested(conn)
+    harness.attempt()
+    harness.pool.drained(1.0, conn)
+    harness.execute()
+    assert len(harness.calls) == 2 and not harness.ended()
+
+
+def test_expired_and_cancelled_attempts_by_whether_they_were_written():
+    harness = Harness(max_links=1)
+    written = harness.attempt()
+    conn = harness.open()
+    harness.pool.congested(conn)
+    waiting = harness.attempt()
+    harness.pool.expire(5.0, waiting)
+    assert harness.results() == [interface.Result.SUPERSEDED]  # it was never written
+    harness.pool.drained(5.0, conn)
+    harness.pool.expire(6.0, written)
+    harness.execute()
+    assert harness.results() == [interface.Result.TIMEOUT]
+    assert harness.calls[-1][1].method == "rpc.cancel" and harness.calls[-1][1].id is None
+    other = harness.attempt()
+    harness.pool.cancel(7.0, other)
+    assert harness.results() == [interface.Result.CANCELLED]
+    harness.pool.cancel(8.0, other)  # already ended: no second result
+    harness.pool.expire(8.0, other)
+    assert not harness.ended()
+
+
+def test_late_duplicate_and_unmatched_answers_are_dropped_and_counted():
+    harness = Harness()
+    attempt = harness.attempt()
+    conn = harness.open()
+    harness.pool.expire(1.0, attempt)
+    harness.execute()
+    harness.ended()
+    harness.answer(conn, rpc.result(harness.calls[0][1].id, {}))
+    harness.answer(conn, rpc.result(harness.calls[0][1].id, {}))
+    harness.answer(conn, rpc.result(99, {}))
+    harness.answer(conn, rpc.result("1", {}))
+    harness.answer(conn, b'{"jsonrpc":"2.0"')
+    harness.answer(conn, rpc.call("look", {}, 5))
+    assert not harness.ended()
+    assert (
+        harness.pool.counts["late_answers"],
+        harness.pool.counts["stray_answers"],
+        harness.pool.counts["bad_messages"],
+    ) == (1, 3, 2)
+
+
+def test_attempts_spread_over_links_up_to_the_limits():
+    harness = Harness(streams=2, max_links=2)
     for _ in range(4):
-        w.attempt()
-    assert len(w.dials) == 2
-    w.attempt()
-    assert w.results() == [i.Result.SUPERSEDED]  # the cap is this side's: nothing was sent
-    for d in list(w.dials):
-        w.up(d.conn)
-    assert sorted(conn for conn, _ in w.calls) == sorted([w.dials[0].conn, w.dials[1].conn] * 2)
-    conn, call = w.calls[0]
-    w.answer(conn, rpc.result(call.id, {}))
-    w.attempt()
-    assert w.calls[-1][0] == conn and w.results() == [i.Result.OK]
-
-
-def test_nothing_is_written_after_the_grace_of_a_drain():
-    w = Wire(grace_ms=1000.0, max_links=1)
-    w.pool.notified(0.0, {NODE: i.State.READY})
-    w.attempt()
-    conn = w.up()
-    w.pool.congested(conn)
-    w.now = 100.0
-    w.attempt()  # waits for the connection
-    w.pool.notified(100.0, {NODE: i.State.DRAINING})
-    w.pool.notified(900.0, {NODE: i.State.DRAINING})  # told again: the first time counts
-    w.pool.drained(1100.0, conn)
-    w.carry()
-    assert w.results() == [i.Result.SUPERSEDED] and len(w.calls) == 1
-    w.now = 1200.0
-    w.attempt()
-    assert w.results() == [i.Result.SUPERSEDED]
-    w.pool.notified(1300.0, {})  # gone from the list
-    w.now = 1301.0
-    w.attempt()
-    assert w.results() == [i.Result.SUPERSEDED]
-    w.pool.notified(1400.0, {NODE: i.State.READY})
-    w.now = 1400.0
-    w.attempt()
-    assert len(w.calls) == 2
-
-
-def test_idle_connections_close_and_silent_ones_end():
-    w = Wire(idle_ms=1000.0, ping_ms=300.0)
-    w.attempt()
-    conn = w.up()
-    w.answer(conn, rpc.result(w.calls[0][1].id, {}))
-    w.ended()
-    w.tick(1000.0)
-    assert w.nodes[conn].proto.close_rcvd is not None and w.nodes[conn].proto.close_rcvd.code == 1000
-    w.tick(2001.0)
-    assert conn in w.over and not w.pool.links
-    w.attempt()
-    conn = w.up()
-    w.tick(2301.0)  # a ping goes out, and nothing comes back
-    assert not w.ended()
-    w.tick(2601.0)
-    assert w.results() == [i.Result.RESET] and w.pool.counts["silent_links"] == 1
-
-
-def test_probes():
-    w = Wire(probe_timeout_ms=250.0)
-    w.pool.probe(0.0, NODE)
-    assert w.results() == [i.Result.CONNECT_FAILED]  # no connection to ask over
-    w.attempt()
-    conn = w.up()
-    w.pool.probe(0.0, NODE)
-    w.carry()
-    w.answer(conn, rpc.result(w.calls[-1][1].id, {"load": {"util": 0.25}}))
-    (end,) = w.ended()
-    assert (end.result, end.load) == (i.Result.OK, {"util": 0.25})
-    w.pool.probe(10.0, NODE)
-    w.carry()
-    w.tick(260.0)
-    assert w.results() == [i.Result.TIMEOUT]
+        harness.attempt()
+    assert len(harness.dials) == 2
+    harness.attempt()
+    assert harness.results() == [interface.Result.SUPERSEDED]  # the limit is local: nothing was sent
+    for dial in list(harness.dials):
+        harness.open(dial.conn)
+    assert sorted(conn for conn, _ in harness.calls) == sorted([harness.dials[0].conn, harness.dials[1].conn] * 2)
+    conn, call = harness.calls[0]
+    harness.answer(conn, rpc.result(call.id, {}))
+    harness.attempt()
+    assert harness.calls[-1][0] == conn and harness.results() == [interface.Result.OK]
+
+
+def test_nothing_is_written_after_the_drain_grace():
+    harness = Harness(grace_ms=1000.0, max_links=1)
+    harness.pool.notified(0.0, {NODE: interface.State.READY})
+    harness.attempt()
+    conn = harness.open()
+    harness.pool.congested(conn)
+    harness.now = 100.0
+    harness.attempt()  # waits for the connection
+    harness.pool.notified(100.0, {NODE: interface.State.DRAINING})
+    harness.pool.notified(900.0, {NODE: interface.State.DRAINING})  # reported again: the first time counts
+    harness.pool.drained(1100.0, conn)
+    harness.execute()
+    assert harness.results() == [interface.Result.SUPERSEDED] and len(harness.calls) == 1
+    harness.now = 1200.0
+    harness.attempt()
+    assert harness.results() == [interface.Result.SUPERSEDED]
+    harness.pool.notified(1300.0, {})  # gone from the list
+    harness.now = 1301.0
+    harness.attempt()
+    assert harness.results() == [interface.Result.SUPERSEDED]
+    harness.pool.notified(1400.0, {NODE: interface.State.READY})
+    harness.now = 1400.0
+    harness.attempt()
+    assert len(harness.calls) == 2
+
+
+def test_idle_connections_are_closed_and_silent_ones_reset():
+    harness = Harness(idle_ms=1000.0, ping_ms=300.0)
+    harness.attempt()
+    conn = harness.open()
+    harness.answer(conn, rpc.result(harness.calls[0][1].id, {}))
+    harness.ended()
+    harness.tick(1000.0)
+    assert harness.nodes[conn].proto.close_rcvd is not None and harness.nodes[conn].proto.close_rcvd.code == 1000
+    harness.tick(2001.0)
+    assert conn in harness.closed and not harness.pool.links
+    harness.attempt()
+    conn = harness.open()
+    harness.tick(2301.0)  # a ping is sent, and nothing comes back
+    assert not harness.ended()
+    harness.tick(2601.0)
+    assert harness.results() == [interface.Result.RESET] and harness.pool.counts["silent_links"] == 1
+
+
+def test_probe_results():
+    harness = Harness(probe_timeout_ms=250.0)
+    harness.pool.probe(0.0, NODE)
+    assert harness.results() == [interface.Result.CONNECT_FAILED]  # no open connection
+    harness.attempt()
+    conn = harness.open()
+    harness.pool.probe(0.0, NODE)
+    harness.execute()
+    harness.answer(conn, rpc.result(harness.calls[-1][1].id, {"load": {"util": 0.25}}))
+    (end,) = harness.ended()
+    assert (end.result, end.load) == (interface.Result.OK, {"util": 0.25})
+    harness.pool.probe(10.0, NODE)
+    harness.execute()
+    harness.tick(260.0)
+    assert harness.results() == [interface.Result.TIMEOUT]
 
 
 @pytest.mark.parametrize("address", ["nowhere", "host:port", ":80", ""])
-def test_an_address_that_is_none_never_ran(address):
-    w = Wire()
-    w.attempt(node=address)
-    assert w.results() == [i.Result.CONNECT_FAILED] and not w.dials
+def test_malformed_address_is_connect_failed(address):
+    harness = Harness()
+    harness.attempt(node=address)
+    assert harness.results() == [interface.Result.CONNECT_FAILED] and not harness.dials
 
 
-def test_tables_stay_bounded():
-    w = Wire(streams=4)
+def test_tables_are_emptied_when_nodes_are_gone():
+    harness = Harness(streams=4)
     for k in range(500):
-        w.now = float(k)
-        a = w.attempt(node=f"10.0.0.{k % 250}:80")
-        w.pool.dial_failed(w.now, w.dials[-1].conn)
-        assert w.results() == [i.Result.CONNECT_FAILED] and a
-    w.pool.notified(1000.0, {})
-    w.pool.notified(1000.0 + 62_000.0, {})
-    assert not w.pool.nodes and not w.pool.links and not w.pool.link_by_attempt
+        harness.now = float(k)
+        attempt = harness.attempt(node=f"10.0.0.{k % 250}:80")
+        harness.pool.dial_failed(harness.now, harness.dials[-1].conn)
+        assert harness.results() == [interface.Result.CONNECT_FAILED] and attempt
+    harness.pool.notified(1000.0, {})
+    harness.pool.notified(1000.0 + 62_000.0, {})
+    assert not harness.pool.nodes and not harness.pool.links and not harness.pool.link_by_attempt
