--- a/rushweir/peers/__init__.py
+++ b/rushweir/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Ingress to ingress: authenticated datagrams. No I/O."""
+"""Messages between ingresses as authenticated datagrams. No I/O."""
