--- a/benchmarks/websocket_libraries.py
+++ b/benchmarks/websocket_libraries.py
@@ -20,8 +20,8 @@
 
     client, server = Messages(client_protocol("ws://x/", 1 << 20)), Messages(server_protocol(1 << 20))
     client.connect({})
-    server.proto.receive_data(b"".join(client.take()[0]))
-    server.proto.send_response(server.proto.accept(server.proto.events_received()[0]))
+    server.protocol.receive_data(b"".join(client.take()[0]))
+    server.protocol.send_response(server.protocol.accept(server.protocol.events_received()[0]))
     assert client.receive_handshake(b"".join(server.take()[0]))
 
     def move(a, b, text):
--- a/rushweir/lab/standins/client.py
+++ b/rushweir/lab/standins/client.py
@@ -52,7 +52,7 @@
                     break
                 if opened is False:
                     self.writer.transport.abort()
-                    response = getattr(self.messages.proto.handshake_exc, "response", None)
+                    response = getattr(self.messages.protocol.handshake_exc, "response", None)
                     if response is None:
                         raise Refused(0)
                     raise Refused(response.status_code, float(response.headers.get("Retry-After", 0)))
@@ -107,7 +107,7 @@
         except (ConnectionError, OSError):
             pass
         finally:
-            received = self.messages.proto.close_rcvd
+            received = self.messages.protocol.close_rcvd
             self.close_code = int(received.code) if received is not None else None
             if self.records is not None:
                 self.records.note("lost" if lost else "closed", client=self.number, code=self.close_code)
--- a/rushweir/link/websocket.py
+++ b/rushweir/link/websocket.py
@@ -59,10 +59,10 @@
     A peer that breaks the protocol is failed with the code of RFC 6455, 7.4.1, and nothing more is read.
     """
 
-    __slots__ = ("decoder", "early", "eof", "heard", "parts", "proto")
+    __slots__ = ("decoder", "early", "eof", "heard", "parts", "protocol")
 
-    def __init__(self, proto: Protocol) -> None:
-        self.proto = proto
+    def __init__(self, protocol: Protocol) -> None:
+        self.protocol = protocol
         self.parts: list[str] = []
         self.decoder = None  # set while a fragmented message is open
         self.eof = False
@@ -71,42 +71,42 @@
 
     def connect(self, headers: dict[str, str]) -> None:
         """The client's side: queue the handshake's request (RFC 6455, 4.1)."""
-        request = self.proto.connect()
+        request = self.protocol.connect()
         for name, value in headers.items():
             request.headers[name] = value
-        self.proto.send_request(request)
+        self.protocol.send_request(request)
 
     def receive_handshake(self, data: bytes) -> bool | None:
         """The client's side: bytes of the handshake's response; None until it is whole, then whether the
         connection is open. Messages that came with it are read by ``messages``."""
-        self.proto.receive_data(data)
-        events = self.proto.events_received()
+        self.protocol.receive_data(data)
+        events = self.protocol.events_received()
         self.early = [e for e in events if isinstance(e, Frame)]
-        if self.proto.handshake_exc is not None:
+        if self.protocol.handshake_exc is not None:
             return False
         return True if self.open else None
 
     @property
     def open(self) -> bool:
-        return self.proto.state is State.OPEN
+        return self.protocol.state is State.OPEN
 
     @property
     def close_code(self) -> int | None:
         """The code this side closed or failed with, else the peer's; None before."""
-        sent, received = self.proto.close_sent, self.proto.close_rcvd
+        sent, received = self.protocol.close_sent, self.protocol.close_rcvd
         if sent is not None:
             return int(sent.code)
         return int(received.code) if received is not None else None
 
     def receive(self, data: bytes) -> list[bytes | str]:
-        if self.eof or self.proto.reader.eof:
+        if self.eof or self.protocol.reader.eof:
             return []
-        self.proto.receive_data(data)
+        self.protocol.receive_data(data)
         return self.messages()
 
     def messages(self) -> list[bytes | str]:
         found: list[bytes | str] = []
-        frames, self.early = [*self.early, *self.proto.events_received()], []
+        frames, self.early = [*self.early, *self.protocol.events_received()], []
         for frame in frames:
             self.heard += 1
             opcode = frame.opcode
@@ -145,35 +145,35 @@
 
     def send(self, text: bytes) -> bool:
         """Queue one text message; False when the connection is no longer open."""
-        if self.proto.state is not State.OPEN:
+        if self.protocol.state is not State.OPEN:
             return False
-        self.proto.send_text(text)
+        self.protocol.send_text(text)
         return True
 
     def ping(self) -> None:
         if self.open:
-            self.proto.send_ping(b"")
+            self.protocol.send_ping(b"")
 
     def close(self, code: int, reason: str = "") -> None:
         """Start the closing handshake (RFC 6455, 7.1.2); the reason is cut to the 123 bytes that fit."""
         if self.open:
-            self.proto.send_close(code, reason.encode()[:123].decode(errors="ignore"))
+            self.protocol.send_close(code, reason.encode()[:123].decode(errors="ignore"))
 
     def fail(self, code: int, reason: str) -> None:
         """Fail the connection (RFC 6455, 7.1.7): a close frame, then the end, without waiting for the echo."""
         try:
-            self.proto.fail(code, reason)
+            self.protocol.fail(code, reason)
         except InvalidState:  # pragma: no cover - the library closes twice without complaint today
             return
 
     def receive_eof(self) -> None:
         if not self.eof:
             self.eof = True
-            self.proto.receive_eof()
+            self.protocol.receive_eof()
 
     def take(self) -> tuple[list[bytes], bool]:
         """What is to be written now, and whether the writing side ends after it."""
-        writes = self.proto.data_to_send()
+        writes = self.protocol.data_to_send()
         if writes and writes[-1] == SEND_EOF:
             return [w for w in writes if w], True
         return writes, False
--- a/tests/fronts/test_front.py
+++ b/tests/fronts/test_front.py
@@ -57,7 +57,7 @@
 
     def close_code(self) -> int | None:
         self.received_messages()
-        received = self.client.proto.close_rcvd
+        received = self.client.protocol.close_rcvd
         return int(received.code) if received is not None else None
 
 
@@ -276,7 +276,7 @@
 
 def test_compressed_message_is_read():
     connected = ConnectedFront(deflate=True)
-    assert connected.client.proto.extensions, "no extension was negotiated"
+    assert connected.client.protocol.extensions, "no extension was negotiated"
     ((_, ask),) = connected.send(call(data="x" * 5000))
     assert ask.payload["data"] == "x" * 5000
 
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -271,7 +271,9 @@
     harness.answer(conn, rpc.result(harness.calls[0][1].id, {}))
     harness.ended()
     harness.tick(1000.0)
-    assert harness.nodes[conn].proto.close_rcvd is not None and harness.nodes[conn].proto.close_rcvd.code == 1000
+    assert (
+        harness.nodes[conn].protocol.close_rcvd is not None and harness.nodes[conn].protocol.close_rcvd.code == 1000
+    )
     harness.tick(2001.0)
     assert conn in harness.closed and not harness.pool.links
     harness.attempt()
