--- a/rushweir/link/rpc.py
+++ b/rushweir/link/rpc.py
@@ -1,6 +1,6 @@
-"""JSON-RPC 2.0 messages (https://www.jsonrpc.org/specification): reading, checking, writing. No I/O.
+"""JSON-RPC 2.0 messages (https://www.jsonrpc.org/specification): parsing, checking, writing. No I/O.
 
-Errors name the member at fault. Nothing here knows what a method means.
+Errors name the member at fault. The module is independent of methods and their parameters.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 import orjson
 
 Id = str | int
-MOST_ID = 128  # characters of an id: it is kept for as long as its request is open
-MOST_METHOD = 128
+MAX_ID_LENGTH = 128  # characters: an id is stored for as long as its request is open
+MAX_METHOD_LENGTH = 128  # characters
 
 # 5.1, "Error object": the codes that the specification reserves ...
 PARSE_ERROR = -32700
@@ -20,28 +20,29 @@
 METHOD_NOT_FOUND = -32601
 INVALID_PARAMS = -32602
 INTERNAL_ERROR = -32603
-# ... and ours, in the range that it leaves to implementations (-32000 to -32099).
-REFUSED = -32010  # not done, and trying again is harmless; data: reason, retry_after_ms
-FAILED = -32011  # promises nothing: it may have been done, may be done, or not
-NODE_FULL = -32020  # from a node: turned away unseen, so it never ran
-NODE_ERROR = -32021  # from a node: something went wrong while it ran
+# ... and those of this program, in the range for implementations (-32000 to -32099).
+REFUSED = -32010  # not executed, so that a retry is safe; data: reason, retry_after_ms
+FAILED = -32011  # may have been executed, or may still be
+NODE_FULL = -32020  # from a node: rejected before execution, so it never ran
+NODE_ERROR = -32021  # from a node: an error during execution
 SERVER_RANGE = range(-32099, -31999)
 
 
 class RpcError(Exception):
-    """A message that is not JSON-RPC 2.0, with what to answer."""
+    """A message that is not valid JSON-RPC 2.0, with the error to answer."""
 
     def __init__(self, code: int, text: str, id: Id | None = None, data: dict[str, Any] | None = None) -> None:
         super().__init__(text)
         self.code, self.id, self.data = code, id, data
 
     def answer(self) -> bytes:
+        """Returns the error response."""
         return error(self.id, self.code, str(self), self.data)
 
 
-@dataclass(slots=True)  # not frozen, as Reply: one is made for each message, and freezing triples its cost
+@dataclass(slots=True)  # not frozen, as Reply: one is created for each message, and freezing triples the cost
 class Call:
-    """A request; ``id`` is None for a notification, which gets no answer."""
+    """A request; ``id`` is None for a notification, which is not answered."""
 
     method: str
     params: Any = None
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An answer to a request of this side: ``error`` is None when it succeeded."""
+    """A response to a request of this side; ``error`` is None if it succeeded."""
 
     id: Id | None
     result: Any = None
@@ -59,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Several messages in one; those that are no request stand as the error to answer."""
+    """A batch of messages; invalid ones are given as the error to answer."""
 
     calls: tuple[Call | Reply | RpcError, ...]
 
 
-def parse(text: bytes | str, most: int = 1000) -> Call | Reply | Batch:
-    """One message. Raises RpcError; ``most`` bounds the members of a batch."""
+def parse(text: bytes | str, max_batch: int = 1000) -> Call | Reply | Batch:
+    """Parses one message. ``max_batch`` limits the members of a batch. Raises RpcError."""
     try:
         message = orjson.loads(text)
     except orjson.JSONDecodeError as problem:
@@ -73,13 +74,13 @@
     if isinstance(message, list):
         if not message:  # 6, "rpc call with an empty Array"
             raise RpcError(INVALID_REQUEST, "a batch holds at least one request")
-        if len(message) > most:
-            raise RpcError(INVALID_REQUEST, f"a batch holds {most} requests at most")
-        return Batch(tuple(_member(m) for m in message))
+        if len(message) > max_batch:
+            raise RpcError(INVALID_REQUEST, f"a batch holds {max_batch} requests at most")
+        return Batch(tuple(_check_member(member) for member in message))
     return check(message)
 
 
-def _member(message: Any) -> Call | Reply | RpcError:
+def _check_member(message: Any) -> Call | Reply | RpcError:
     try:
         return check(message)
     except RpcError as problem:
@@ -87,13 +88,13 @@
 
 
 def check(message: Any) -> Call | Reply:
-    """One parsed message as a Call or a Reply. Raises RpcError with the id, where that could be read."""
+    """Returns one decoded message as a Call or a Reply. Raises RpcError, with the id if it could be read."""
     if type(message) is not dict:
         raise RpcError(INVALID_REQUEST, "a message is an object")
     id = message.get("id")
-    if id is not None and not (type(id) is int or (type(id) is str and len(id) <= MOST_ID)):
-        # 4: "String, Number, or NULL"; a fractional number SHOULD NOT be used, and can't be compared safely.
-        raise RpcError(INVALID_REQUEST, f"id: a whole number or text of at most {MOST_ID} characters")
+    if id is not None and not (type(id) is int or (type(id) is str and len(id) <= MAX_ID_LENGTH)):
+        # 4: "String, Number, or NULL"; fractional numbers SHOULD NOT be used, and can't be compared safely.
+        raise RpcError(INVALID_REQUEST, f"id: a whole number or text of at most {MAX_ID_LENGTH} characters")
     if message.get("jsonrpc") != "2.0":
         raise RpcError(INVALID_REQUEST, 'jsonrpc: must be "2.0"', id)
     method = message.get("method")
@@ -104,18 +105,19 @@
                 raise RpcError(INVALID_REQUEST, "error: an object with a whole number as code", id)
             return Reply(id, message.get("result"), problem)
         raise RpcError(INVALID_REQUEST, "method: missing", id)
-    if type(method) is not str or len(method) > MOST_METHOD:
-        raise RpcError(INVALID_REQUEST, f"method: text of at most {MOST_METHOD} characters", id)
+    if type(method) is not str or len(method) > MAX_METHOD_LENGTH:
+        raise RpcError(INVALID_REQUEST, f"method: text of at most {MAX_METHOD_LENGTH} characters", id)
     params = message.get("params")
     if params is not None and type(params) is not dict and type(params) is not list:
         raise RpcError(INVALID_REQUEST, "params: an object or an array", id)
     if "id" in message and id is None:
-        # A null id can't be told from the answer to an unreadable request (4, note on null).
+        # A null id can't be distinguished from the response to an unreadable request (4, note on null).
         raise RpcError(INVALID_REQUEST, "id: null names no request")
     return Call(method, params, id)
 
 
 def call(method: str, params: Any, id: Id | None = None) -> bytes:
+    """Returns the text of a request, or of a notification if there is no id."""
     message: dict[str, Any] = {"jsonrpc": "2.0", "method": method, "params": params}
     if id is not None:
         message["id"] = id
@@ -123,10 +125,12 @@
 
 
 def result(id: Id | None, value: Any) -> bytes:
+    """Returns the text of a successful response."""
     return orjson.dumps({"jsonrpc": "2.0", "id": id, "result": value})
 
 
 def error(id: Id | None, code: int, text: str, data: Any = None) -> bytes:
+    """Returns the text of an error response."""
     problem: dict[str, Any] = {"code": code, "message": text}
     if data is not None:
         problem["data"] = data
@@ -134,5 +138,5 @@
 
 
 def batch_reply(answers: list[bytes]) -> bytes:
-    """The answer to a batch: one array, in any order (6)."""
+    """Returns the response to a batch: one array, in any order (6)."""
     return b"[" + b",".join(answers) + b"]"
--- a/rushweir/link/text.py
+++ b/rushweir/link/text.py
@@ -1,4 +1,4 @@
-"""Text for people. No I/O."""
+"""Text that is shown to people. No I/O."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def printable(value: Any) -> str:
-    """Text with what can't be seen made visible: names come from settings and lists, and must neither move a
-    terminal's cursor nor turn a page's text round."""
-    return "".join(c if c.isprintable() else "\N{REPLACEMENT CHARACTER}" for c in str(value))
+    """Returns a value as text with unprintable characters replaced: names come from settings and lists, and must
+    neither move a terminal's cursor nor reverse the direction of a page's text."""
+    return "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in str(value))
--- a/tests/link/test_networks.py
+++ b/tests/link/test_networks.py
@@ -1,4 +1,4 @@
-"""Address sets: the longest prefix decides, and they agree with a plain search."""
+"""Address sets: the longest prefix decides, and results agree with a linear search."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from rushweir.link.networks import AddressSet, parse_network
 
 
-def nets(*texts):
-    return [parse_network(t) for t in texts]
+def parse_networks(*texts):
+    return [parse_network(text) for text in texts]
 
 
 @pytest.mark.parametrize(
@@ -33,27 +33,27 @@
         (("10.0.0.0/8",), (), "::ffff:nothing", False),
     ],
 )
-def test_who_is_in(allow, deny, address, allowed):
-    assert AddressSet(nets(*allow), nets(*deny)).allows(address) is allowed
+def test_longest_matching_prefix_decides(allow, deny, address, allowed):
+    assert AddressSet(parse_networks(*allow), parse_networks(*deny)).allows(address) is allowed
 
 
-def test_one_network_can_not_be_both():
+def test_network_that_is_both_allowed_and_denied_is_rejected():
     with pytest.raises(ValueError, match="10.0.0.0/8 is both"):
-        AddressSet(nets("10.0.0.0/8"), nets("10.0.0.0/8"))
+        AddressSet(parse_networks("10.0.0.0/8"), parse_networks("10.0.0.0/8"))
 
 
 networks = st.lists(st.tuples(st.integers(0, 2**12 - 1), st.integers(4, 32)), max_size=20, unique=True)
 
 
 @given(networks, networks, st.integers(0, 2**32 - 1))
-def test_agrees_with_a_plain_search(allow, deny, address):
-    def net(n):
-        bits = n[0] << 20
-        return ip_network((bits >> (32 - n[1]) << (32 - n[1]), n[1]))
-
-    allow = {net(n) for n in allow}
-    deny = {net(n) for n in deny} - allow
-    where = ip_address(address)
-    fits = sorted((n.prefixlen, n in allow) for n in allow | deny if where in n)
-    expected = fits[-1][1] if fits else not allow
-    assert AddressSet(allow, deny).allows(str(where)) is expected
+def test_result_agrees_with_a_linear_search(allow, deny, address):
+    def make_network(drawn):
+        bits = drawn[0] << 20
+        return ip_network((bits >> (32 - drawn[1]) << (32 - drawn[1]), drawn[1]))
+
+    allow = {make_network(drawn) for drawn in allow}
+    deny = {make_network(drawn) for drawn in deny} - allow
+    ip = ip_address(address)
+    matches = sorted((network.prefixlen, network in allow) for network in allow | deny if ip in network)
+    expected = matches[-1][1] if matches else not allow
+    assert AddressSet(allow, deny).allows(str(ip)) is expected
