--- a/rushweir/counter/__init__.py
+++ b/rushweir/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The shared counter, as an ingress calls it. No I/O."""
+"""The client of the shared counter. No I/O."""
