--- a/tests/ingress/test_reload.py
+++ b/tests/ingress/test_reload.py
@@ -10,7 +10,7 @@
 from rushweir.ingress.queries import Partner
 from rushweir.lab.standins.client import kind
 from rushweir.lab.standins.model import NodeKind
-from rushweir.link.networks import AddressSet, network
+from rushweir.link.networks import AddressSet, parse_network
 
 from .conftest import PARTNERS
 from .test_failures import why
@@ -133,7 +133,7 @@
 def test_nodes_outside_the_networks_are_ignored(run_scenario):
     async def body(harness):
         await harness.add_nodes(2)
-        harness.setup_overrides = {"node_networks": AddressSet([network("10.0.0.0/8")])}
+        harness.setup_overrides = {"node_networks": AddressSet([parse_network("10.0.0.0/8")])}
         await harness.start(ready=0)
         await harness.wait_until(lambda: harness.core.counts["strange_nodes"] == 2)
         assert not harness.core.nodes.effective and len(harness.core.nodes.listed) == 2
@@ -149,7 +149,7 @@
 def test_clients_outside_the_networks_are_refused_and_closed(run_scenario):
     async def body(harness):
         await harness.add_nodes(1)
-        harness.setup_overrides = {"client_networks": AddressSet([network("10.0.0.0/8")])}
+        harness.setup_overrides = {"client_networks": AddressSet([parse_network("10.0.0.0/8")])}
         await harness.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", int(harness.url.split(":")[2].split("/")[0]))
         writer.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
