--- a/rushweir/rollout/watch_sessions.py
+++ b/rushweir/rollout/watch_sessions.py
@@ -1,22 +1,22 @@
-"""A control process' side of the distribution: what each ingress that watches gets, and when. No I/O, no clock.
+"""The sessions of a control process with its watchers: what each watcher is sent, and when. No I/O, no clock.
 
-Each that watches has one session:
+Each watcher has one session:
 
-    state     waits for                          then
-    opened    its watch                          steps, asked or large, by its version
-    steps     a step that it has not, bytes      the step; asked where the recent ones do not reach, or cost more
-    asked     the digests of its parts           large: what differs
-    held      a majority that hears us           large: the whole, to one with nothing
-    queued    one of the MOST_LARGE places       large
-    large     bytes                              steps, when the last piece went out
+    state         waits for                        then
+    OPENED        its watch                        CHANGE_SETS, ASKED or QUEUED, by its version
+    CHANGE_SETS   a newer change set, bytes        the change set; ASKED if the recent ones don't suffice or cost more
+    ASKED         the digests of its buckets       QUEUED, for a delta
+    HELD          a majority that hears us         QUEUED, for a snapshot, as it has nothing
+    QUEUED        one of MAX_LARGE_SESSIONS        CHUNKS
+    CHUNKS        bytes                            CHANGE_SETS, when the last chunk was sent
 
-The whole goes only to one with nothing. A newcomer waits until this process is current, so that nobody begins with
-settings that a majority left behind.
+A full snapshot is sent only to a watcher with nothing. Such a watcher waits until this process is current, so that
+none begins with settings that the majority has left behind.
 
-Bytes a second are bounded over all sessions by a token bucket: at most ``rate`` a second and ``burst`` at once, and
-one message more, as it may go below nothing by its last. Messages of at most SMALL bytes go first, each session's in
-turn; of what is left, and of a quarter of the rate at least, larger steps and pieces go, each session's in turn too.
-Beats go at once, and are counted. A step is packed and sealed once, however many get it.
+The bytes per second of all sessions are bounded by a token bucket: at most ``rate`` per second and ``burst`` at once,
+and one message more, as the last one may overdraw it. Messages of at most SMALL_MESSAGE_BYTES are sent first, by
+sessions in turn; the rest, and at least a quarter of the rate, is for larger change sets and chunks, in turn too.
+Heartbeats are sent at once, and counted. A change set is packed and sealed once for all watchers.
 """
 
 from __future__ import annotations
@@ -39,56 +39,52 @@
     encode_object,
 )
 from rushweir.rollout.watch_session_records import (
-    ASKED,
-    HELD,
-    LARGE,
-    OPENED,
-    QUEUED,
-    STEPS,
     Close,
     Rates,
     RecentChangeSet,
     Report,
     Send,
     Session,
+    SessionState,
     TokenBucket,
+    delta_rows,
     snapshot_messages,
-)  # fmt: skip
+)
 
 
 class WatchSessions:
-    """All sessions of one control process; ``commands`` are for its shell."""
+    """All sessions of one control process; ``commands`` are for its shell. Times are in ms."""
 
     def __init__(
-        self, now: float, book: ObjectStore, key: bytes = b"", rates: Rates | None = None, seed: int = 0,
+        self, now: float, store: ObjectStore, key: bytes = b"", rates: Rates | None = None, seed: int = 0,
         expire_ms: float = EXPIRE_MS, first: bool = False,
     ) -> None:  # fmt: skip
-        """``book`` is what the log made so far; each ``committed`` step changes it. ``first``: as Standing has it."""
-        self.now, self.store, self.key, self.rng = now, book, key, random.Random(seed)
+        """``store``: the result of the log so far; ``committed`` changes it. ``first``: as in AppliedVersions."""
+        self.now, self.store, self.key, self.rng = now, store, key, random.Random(seed)
         self.bucket = TokenBucket(rates or Rates(), now)
         self.applied_versions = AppliedVersions(now, expire_ms, first)
         self.sessions: dict[int, Session] = {}
         self.by_name: dict[str, int] = {}
         self.recent: dict[int, RecentChangeSet] = {}
-        self.recent_bytes = self.passed = 0
-        self.small: dict[int, None] = {}  # sessions whose next message is small, in their order; so with the large
-        self.large: dict[int, None] = {}
-        self.queue: dict[int, None] = {}
-        self.beats: deque[tuple[float, int]] = deque()
+        self.recent_bytes = self.sent_bytes = 0
+        self.small: dict[int, None] = {}  # sessions with a small next message, in the order of their turns
+        self.large: dict[int, None] = {}  # those with a large one
+        self.queue: dict[int, None] = {}  # sessions in state QUEUED
+        self.heartbeats: deque[tuple[float, int]] = deque()
         self.current, self.reported_at = False, now
         self.commands: deque[Send | Close | Report] = deque()
         self.counts: Counter[str] = Counter()
 
-    # --- what happens ----------------------------------------------------------------------------
+    # --- events ----------------------------------------------------------------------------------
 
-    def committed(self, now: float, step: ChangeSet) -> None:
-        """The next step of the log. Raises BookError where it is not the next."""
-        self._clock(now)
-        self.store.apply(step)
+    def committed(self, now: float, change_set: ChangeSet) -> None:
+        """Apply and send a committed change set. Raises ObjectStoreError if it is not the next."""
+        self._set_clock(now)
+        self.store.apply(change_set)
         digest = self.store.digest()
-        message = self._change_set_message(step, digest)
-        self.recent[step.version] = RecentChangeSet(message, digest, self.passed)
-        self.passed += len(message)
+        message = self._change_set_message(change_set, digest)
+        self.recent[change_set.version] = RecentChangeSet(message, digest, self.sent_bytes)
+        self.sent_bytes += len(message)
         self.recent_bytes += len(message)
         while (
             len(self.recent) > limits.MAX_RECENT
@@ -96,292 +92,296 @@
             and len(self.recent) > 1
         ):
             self.recent_bytes -= len(self.recent.pop(next(iter(self.recent))).message)
-        for s in self.sessions.values():
-            if s.state is STEPS:
-                self._line(s)
+        for session in self.sessions.values():
+            if session.state is SessionState.CHANGE_SETS:
+                self._schedule(session)
         self._pump()
 
-    def snapshot_installed(self, now: float, number: int, objects: dict[Key, tuple[int, bytes]]) -> None:
-        """All there is at a version: of a process that begins, or was so far behind that it took the whole."""
-        self._clock(now)
-        book = ObjectStore()
-        book.put(
-            [(encode_key(key), encode_object(version, data)) for key, (version, data) in objects.items()], number
-        )
-        self.store, self.recent, self.recent_bytes = book, {}, 0
-        for s in self.sessions.values():
-            if s.state is STEPS:
-                self._line(s)
+    def snapshot_installed(self, now: float, version: int, objects: dict[Key, tuple[int, bytes]]) -> None:
+        """Replace all objects, as this process starts or lagged so far that it took a snapshot of the log."""
+        self._set_clock(now)
+        store = ObjectStore()
+        store.put([(encode_key(key), encode_object(at, data)) for key, (at, data) in objects.items()], version)
+        self.store, self.recent, self.recent_bytes = store, {}, 0
+        for session in self.sessions.values():
+            if session.state is SessionState.CHANGE_SETS:
+                self._schedule(session)
         self._pump()
 
     def set_current(self, now: float, current: bool) -> None:
-        """Whether a majority of the control processes hears this one."""
-        self._clock(now)
+        """Note whether a majority of the control processes hears this one."""
+        self._set_clock(now)
         if current is self.current:
             return
         self.current = current
-        for s in list(self.sessions.values()) if current else ():
-            if s.state is HELD:
-                self._line_up(s)
+        for session in list(self.sessions.values()) if current else ():
+            if session.state is SessionState.HELD:
+                self._enqueue(session)
         self._pump()
 
     def opened(self, now: float, conn: int) -> None:
-        self._clock(now)
+        """Begin a session with a heartbeat, or refuse the connection if there are too many."""
+        self._set_clock(now)
         if len(self.sessions) >= limits.MAX_SESSIONS:
             self.commands.append(Close(conn, "too many sessions"))
             return
-        s = self.sessions[conn] = Session(conn, self.rng.getrandbits(62), now)
-        self._send(s, self._beat(s.nonce))
-        self.beats.append((now + limits.HEARTBEAT_MS, conn))
+        session = self.sessions[conn] = Session(conn, self.rng.getrandbits(62), now)
+        self._send(session, self._heartbeat(session.nonce))
+        self.heartbeats.append((now + limits.HEARTBEAT_MS, conn))
 
     def closed(self, now: float, conn: int) -> None:
-        self._clock(now)
-        s = self.sessions.pop(conn, None)
-        if s is None:
+        """End a session."""
+        self._set_clock(now)
+        session = self.sessions.pop(conn, None)
+        if session is None:
             return
-        self._out_of_line(s)
-        if self.by_name.get(s.watcher) == conn:
-            del self.by_name[s.watcher]
-            self.applied_versions.connected.discard(s.watcher)
-        self._places()
+        self._unschedule(session)
+        if self.by_name.get(session.watcher) == conn:
+            del self.by_name[session.watcher]
+            self.applied_versions.connected.discard(session.watcher)
+        self._start_large()
         self._pump()
 
     def set_writable(self, now: float, conn: int, writable: bool) -> None:
-        """Whether the connection takes more: what waits in it is bounded by its shell."""
-        self._clock(now)
-        s = self.sessions.get(conn)
-        if s is not None and s.writable is not writable:
-            s.writable = writable
-            if writable and s.state in (STEPS, LARGE):
-                self._line(s)
+        """Note whether the connection takes more; its shell bounds what waits in it."""
+        self._set_clock(now)
+        session = self.sessions.get(conn)
+        if session is not None and session.writable is not writable:
+            session.writable = writable
+            if writable and session.state in (SessionState.CHANGE_SETS, SessionState.CHUNKS):
+                self._schedule(session)
             self._pump()
 
     def received(self, now: float, conn: int, text: bytes | str) -> None:
-        self._clock(now)
-        s = self.sessions.get(conn)
-        if s is None:
+        """Handle a message of a watcher; a malformed one closes its session."""
+        self._set_clock(now)
+        session = self.sessions.get(conn)
+        if session is None:
             return
-        s.last_seen_at = now
+        session.last_seen_at = now
         try:
             method, fields = mail.read(text, self.key)
-            self._message(s, method, fields)
+            self._received(session, method, fields)
         except (mail.MailError, ObjectStoreError) as problem:
             self.counts["bad_messages"] += 1
-            self._drop(s, str(problem))
+            self._drop(session, str(problem))
         self._pump()
 
-    def take_report(self, now: float, told: Any) -> None:
-        """Of another control process. Raises ValueError."""
-        self._clock(now)
-        self.applied_versions.merge_report(now, told)
+    def take_report(self, now: float, report: Any) -> None:
+        """Merge a report of another control process. Raises ValueError."""
+        self._set_clock(now)
+        self.applied_versions.merge_report(now, report)
 
     def minimum_acting_version(self) -> int:
-        """The version that all who are known and not expired act on."""
+        """Return the version that all watchers which are known and not expired act on."""
         return self.applied_versions.minimum(self.now)
 
     def rows(self) -> list[dict[str, Any]]:
+        """Return the status rows of all known watchers, for operators."""
         return self.applied_versions.rows(self.now, self.store.version)
 
     def next_at(self) -> float:
+        """Return when ``advance`` is due."""
         due = self.reported_at + limits.REPORT_MS[0 if self.applied_versions.changed else 1]
-        if self.beats:
-            due = min(due, self.beats[0][0])
+        if self.heartbeats:
+            due = min(due, self.heartbeats[0][0])
         if self.small or self.large:
             due = min(due, self.now + self.bucket.wait_ms())
         return due
 
     def advance(self, now: float) -> None:
-        self._clock(now)
-        while self.beats and self.beats[0][0] <= now:
-            _, conn = self.beats.popleft()
-            s = self.sessions.get(conn)
-            if s is None:
+        """Send the heartbeats, reports and messages that are due; close silent sessions."""
+        self._set_clock(now)
+        while self.heartbeats and self.heartbeats[0][0] <= now:
+            _, conn = self.heartbeats.popleft()
+            session = self.sessions.get(conn)
+            if session is None:
                 continue
-            if now - s.last_seen_at > limits.SILENT_MS:
-                self._drop(s, "silent")
+            if now - session.last_seen_at > limits.SILENT_MS:
+                self._drop(session, "silent")
                 continue
-            # The nonce until it watches: its first beat may have been refused on the way.
-            self._send(s, self._beat(None if s.watcher else s.nonce, self._waits(s)))
-            self.beats.append((now + limits.HEARTBEAT_MS, conn))
+            # With the nonce until it watches: its first heartbeat may have been refused on the way.
+            self._send(session, self._heartbeat(None if session.watcher else session.nonce, self._waits(session)))
+            self.heartbeats.append((now + limits.HEARTBEAT_MS, conn))
         if now >= self.reported_at + limits.REPORT_MS[0 if self.applied_versions.changed else 1]:
             self.reported_at = now
             self.commands.append(Report(self.applied_versions.report(now)))
         self._pump()
 
-    # --- what they say ---------------------------------------------------------------------------
+    # --- messages of watchers --------------------------------------------------------------------
 
-    def _message(self, s: Session, method: str, fields: dict[str, Any]) -> None:
+    def _received(self, session: Session, method: str, fields: dict[str, Any]) -> None:
         if method == "rollout.watch":
-            self._watch(s, fields)
-        elif not s.watcher:
+            self._watch(session, fields)
+        elif not session.watcher:
             raise mail.MailError(f"{method} before a watch")
         elif method == "rollout.parts":
-            self._differs(s, fields)
+            self._digests_received(session, fields)
         elif method == "rollout.acts":
-            self._acts(s, mail.whole(fields, "version"), mail.text(fields, "why"))
+            self._record(session, mail.whole(fields, "version"), mail.text(fields, "why"))
         elif method == "rollout.refused":
             version, kind, name = mail.whole(fields, "version"), *(mail.text(fields, n) for n in ("kind", "name"))
             why = f"{kind} {name}: {mail.text(fields, 'field')}: {mail.text(fields, 'text')}"[: mail.MOST_TEXT]
             self.counts["refused"] += 1
-            self._acts(s, mail.whole(fields, "acts"), why, version)
+            self._record(session, mail.whole(fields, "acts"), why, version)
         else:
-            raise mail.MailError(f"method {method!r:.40}")
+            raise mail.MailError(f"unknown method {method!r:.40}")
 
-    def _acts(self, s: Session, version: int, why: str, at: int = 0) -> None:
-        old = self.applied_versions.known.get(s.watcher)
+    def _record(self, session: Session, version: int, why: str, refused: int = 0) -> None:
+        old = self.applied_versions.known.get(session.watcher)
         if not why and old is not None and (old.acting_version == version or old.refused_version > version):
-            # A sign of life, or an older version came to its disk: what it refused it still refuses.
-            why, at = old.why, old.refused_version
-        if not self.applied_versions.record(self.now, s.watcher, version, why, at):
+            # A keepalive, or an older version is on its disk now: it still refuses what it refused.
+            why, refused = old.why, old.refused_version
+        if not self.applied_versions.record(self.now, session.watcher, version, why, refused):
             raise mail.MailError("too many ingresses are known")
 
-    def _watch(self, s: Session, fields: dict[str, Any]) -> None:
-        if mail.whole(fields, "nonce") != s.nonce:
-            raise mail.MailError("a watch of another session")
-        who, version = mail.text(fields, "who", mail.MOST_WHO), mail.whole(fields, "version")
+    def _watch(self, session: Session, fields: dict[str, Any]) -> None:
+        if mail.whole(fields, "nonce") != session.nonce:
+            raise mail.MailError("nonce of another session")
+        watcher, version = mail.text(fields, "who", mail.MOST_WHO), mail.whole(fields, "version")
         digest, repair = mail.octets(fields, "digest", DIGEST_BYTES), fields.get("repair") is True
-        if not who or s.watcher not in ("", who):
-            raise mail.MailError("who: a name, and the same in all of a session")
-        old = self.sessions.get(self.by_name.get(who, -1))
-        if old is not None and old is not s:
-            self._drop(old, "it came again")
-        s.watcher, self.by_name[who] = who, s.conn
-        self.applied_versions.connected.add(who)
-        self._acts(s, mail.whole(fields, "acts"), "")
-        self._out_of_line(s)
-        self._places()
+        if not watcher or session.watcher not in ("", watcher):
+            raise mail.MailError("who: missing, or changed within a session")
+        old = self.sessions.get(self.by_name.get(watcher, -1))
+        if old is not None and old is not session:
+            self._drop(old, "replaced by a newer session of the same watcher")
+        session.watcher, self.by_name[watcher] = watcher, session.conn
+        self.applied_versions.connected.add(watcher)
+        self._record(session, mail.whole(fields, "acts"), "")
+        self._unschedule(session)
+        self._start_large()
         self.counts["watches"] += 1
-        s.sent = version
+        session.sent = version
         head = self.store.version
         if version == 0 and not repair and head:
-            self._line_up(s)
-        elif repair or self._differ(version, digest):
-            self._ask(s)
+            self._enqueue(session)
+        elif repair or self._is_altered(version, digest):
+            self._ask_digests(session)
         else:
-            s.state = STEPS
-            self._line(s)
+            session.state = SessionState.CHANGE_SETS
+            self._schedule(session)
 
-    def _differ(self, version: int, digest: bytes) -> bool:
-        """Whether its objects surely are not those of its version."""
+    def _is_altered(self, version: int, digest: bytes) -> bool:
+        """Return whether the digest is known not to be that of the version."""
         if version == self.store.version:
             return digest != self.store.digest()
-        r = self.recent.get(version)
-        return r is not None and r.digest != digest
+        recent = self.recent.get(version)
+        return recent is not None and recent.digest != digest
 
-    def _ask(self, s: Session) -> None:
-        s.state = ASKED
+    def _ask_digests(self, session: Session) -> None:
+        session.state = SessionState.ASKED
         self.counts["asked"] += 1
-        self._send(s, mail.write("rollout.ask", {}, self.key))
+        self._send(session, mail.write("rollout.ask", {}, self.key))
 
-    def _differs(self, s: Session, fields: dict[str, Any]) -> None:
-        if s.state is not ASKED:
-            return  # it watched anew meanwhile
+    def _digests_received(self, session: Session, fields: dict[str, Any]) -> None:
+        if session.state is not SessionState.ASKED:
+            return  # a newer watch came meanwhile
         version = mail.whole(fields, "version")
         if version > self.store.version:
-            s.state, s.sent = STEPS, version  # it has more than this process; nobody goes back
+            session.state, session.sent = SessionState.CHANGE_SETS, version
+            return  # it is ahead of this process; no watcher goes back
+        session.theirs = mail.octets(fields, "digests", BUCKET_COUNT * DIGEST_BYTES)
+        self.store.differing_buckets(session.theirs)  # raises if they are malformed
+        session.sent, session.repair = version, fields.get("repair") is True
+        self._enqueue(session)
+
+    # --- deltas and snapshots --------------------------------------------------------------------
+
+    def _enqueue(self, session: Session) -> None:
+        """Queue a session for a delta, or for a snapshot if it sent no digests."""
+        if not session.theirs and not self.current:
+            session.state = SessionState.HELD
             return
-        s.theirs = mail.octets(fields, "digests", BUCKET_COUNT * DIGEST_BYTES)
-        self.store.differing_buckets(s.theirs)  # refused now if it is no such thing
-        s.sent, s.repair = version, fields.get("repair") is True
-        self._line_up(s)
+        session.state = SessionState.QUEUED
+        self.queue[session.conn] = None
+        self._start_large()
+
+    def _start_large(self) -> None:
+        """Start chunks while few sessions get them. Only then are rows collected: those for all would fill memory."""
+        chunks = SessionState.CHUNKS
+        while self.queue and sum(s.state is chunks for s in self.sessions.values()) < limits.MAX_LARGE_SESSIONS:
+            session = self.sessions[next(iter(self.queue))]
+            del self.queue[session.conn]
+            rows, digests = self._rows(session)
+            session.messages = snapshot_messages(
+                session.sent, self.store.version, self.store.digest(), rows, digests, self.key
+            )
+            session.target, session.theirs, session.state = self.store.version, b"", chunks
+            self._schedule(session)
+
+    def _rows(self, session: Session) -> tuple[list[Row], dict[int, bytes]]:
+        """Return the rows of a snapshot, or of a delta with the object digests that it needs."""
+        if not session.theirs:
+            self.counts["wholes"] += 1
+            return [row for bucket in self.store.buckets for row in bucket.items()], {}
+        return delta_rows(self.store, session)
 
-    # --- what differs ----------------------------------------------------------------------------
+    # --- sending ---------------------------------------------------------------------------------
 
-    def _line_up(self, s: Session) -> None:
-        """For pieces of what differs; of the whole, to one that told no digests."""
-        if not s.theirs and not self.current:
-            s.state = HELD
-            return
-        s.state = QUEUED
-        self.queue[s.conn] = None
-        self._places()
-
-    def _places(self) -> None:
-        """What differs is looked up when there is a place, not before: rows for all who wait would take room."""
-        while self.queue and sum(s.state is LARGE for s in self.sessions.values()) < limits.MAX_LARGE_SESSIONS:
-            s = self.sessions[next(iter(self.queue))]
-            del self.queue[s.conn]
-            rows, marks = self._rows(s)
-            s.messages = snapshot_messages(s.sent, self.store.version, self.store.digest(), rows, marks, self.key)
-            s.target, s.theirs, s.state = self.store.version, b"", LARGE
-            self._line(s)
-
-    def _rows(self, s: Session) -> tuple[list[Row], dict[int, bytes]]:
-        """What differs, and the names of all that is left where tombstones can't tell what is gone."""
-        if not s.theirs:
-            self.counts["wholes"] += 1
-            return [row for part in self.store.buckets for row in part.items()], {}
-        parts = self.store.differing_buckets(s.theirs)
-        after = -1 if s.repair else s.sent
-        rows: list[Row] = [row for p in parts for row in self.store.changed_since(p, after)]
-        dropped = self.store.deleted_since(s.sent)
-        if s.repair or dropped is None:
-            return rows, {p: self.store.object_digests(p) for p in parts}
-        return rows + [(text, None) for text in dropped], {}
-
-    # --- what goes out ---------------------------------------------------------------------------
-
-    def _line(self, s: Session) -> None:
-        """Into the line for bytes that its next message belongs to."""
-        if s.conn in self.small or s.conn in self.large or not s.writable:
+    def _schedule(self, session: Session) -> None:
+        """Give a session a turn among those with small or large next messages."""
+        if session.conn in self.small or session.conn in self.large or not session.writable:
             return
-        if s.state is LARGE:
-            self.large[s.conn] = None
-        elif s.state is STEPS and s.sent < self.store.version:
-            first = self.recent.get(s.sent + 1)
-            if first is None or self.passed - first.behind > limits.MAX_CATCH_UP_BYTES + len(first.message):
-                self._ask(s)
+        if session.state is SessionState.CHUNKS:
+            self.large[session.conn] = None
+        elif session.state is SessionState.CHANGE_SETS and session.sent < self.store.version:
+            first = self.recent.get(session.sent + 1)
+            if first is None or self.sent_bytes - first.bytes_before > limits.MAX_CATCH_UP_BYTES + len(first.message):
+                self._ask_digests(session)
             else:
-                (self.small if len(first.message) <= limits.SMALL_MESSAGE_BYTES else self.large)[s.conn] = None
+                (self.small if len(first.message) <= limits.SMALL_MESSAGE_BYTES else self.large)[session.conn] = None
 
-    def _out_of_line(self, s: Session) -> None:
-        for line in (self.small, self.large, self.queue):
-            line.pop(s.conn, None)
-        s.messages, s.theirs, s.state = None, b"", OPENED
+    def _unschedule(self, session: Session) -> None:
+        for turns in (self.small, self.large, self.queue):
+            turns.pop(session.conn, None)
+        session.messages, session.theirs, session.state = None, b"", SessionState.OPENED
 
     def _pump(self) -> None:
+        """Send messages by turns while there are tokens."""
         bucket = self.bucket
-        while bucket.level > 0 and (self.small or self.large):
-            large = bool(self.large) and (not self.small or bucket.large > 0)
-            line = self.large if large else self.small
-            conn = next(iter(line))
-            del line[conn]
-            s = self.sessions[conn]
-            if not s.writable:
+        while bucket.tokens > 0 and (self.small or self.large):
+            is_large = bool(self.large) and (not self.small or bucket.large_tokens > 0)
+            turns = self.large if is_large else self.small
+            conn = next(iter(turns))
+            del turns[conn]
+            session = self.sessions[conn]
+            if not session.writable:
                 continue
-            message = self._next(s)
+            message = self._next_message(session)
             if message is not None:
-                self._send(s, message)
-                bucket.large -= len(message) if large else 0
-            self._line(s)
+                self._send(session, message)
+                bucket.large_tokens -= len(message) if is_large else 0
+            self._schedule(session)
 
-    def _next(self, s: Session) -> bytes | None:
-        if s.state is LARGE and s.messages is not None:
-            message = next(s.messages, None)
+    def _next_message(self, session: Session) -> bytes | None:
+        if session.state is SessionState.CHUNKS and session.messages is not None:
+            message = next(session.messages, None)
             if message is None:
-                s.messages, s.state, s.sent = None, STEPS, s.target
-                self._places()
+                session.messages, session.state, session.sent = None, SessionState.CHANGE_SETS, session.target
+                self._start_large()
             return message
-        recent = self.recent.get(s.sent + 1) if s.state is STEPS else None
+        recent = self.recent.get(session.sent + 1) if session.state is SessionState.CHANGE_SETS else None
         if recent is None:
             return None
-        s.sent += 1
+        session.sent += 1
         self.counts["steps"] += 1
         return recent.message
 
-    def _send(self, s: Session, message: bytes) -> None:
-        self.bucket.level -= len(message)
+    def _send(self, session: Session, message: bytes) -> None:
+        self.bucket.tokens -= len(message)
         self.counts["bytes"] += len(message)
-        self.commands.append(Send(s.conn, message))
+        self.commands.append(Send(session.conn, message))
 
-    def _change_set_message(self, step: ChangeSet, digest: bytes) -> bytes:
-        return mail.write("rollout.step", {"step": pack(step), "digest": digest}, self.key)
+    def _change_set_message(self, change_set: ChangeSet, digest: bytes) -> bytes:
+        return mail.write("rollout.step", {"step": pack(change_set), "digest": digest}, self.key)
 
-    def _waits(self, s: Session) -> bool:
-        """Whether it is in a line here, so that it need not ask again."""
-        return s.state in (HELD, QUEUED, LARGE) or s.conn in self.small or s.conn in self.large or not s.writable
+    def _waits(self, session: Session) -> bool:
+        """Return whether the watcher only has to wait, so that it need not ask again."""
+        is_scheduled = session.conn in self.small or session.conn in self.large
+        is_queued = session.state in (SessionState.HELD, SessionState.QUEUED, SessionState.CHUNKS)
+        return is_queued or is_scheduled or not session.writable
 
-    def _beat(self, nonce: int | None = None, waits: bool = False) -> bytes:
+    def _heartbeat(self, nonce: int | None = None, waits: bool = False) -> bytes:
         fields: dict[str, Any] = {
             "head": self.store.version, "least": self.minimum_acting_version(),
             "current": self.current, "waits": waits,
@@ -390,10 +390,10 @@
             fields["nonce"] = nonce
         return mail.write("rollout.beat", fields, self.key)
 
-    def _drop(self, s: Session, why: str) -> None:
-        self.commands.append(Close(s.conn, why))
-        self.closed(self.now, s.conn)
+    def _drop(self, session: Session, why: str) -> None:
+        self.commands.append(Close(session.conn, why))
+        self.closed(self.now, session.conn)
 
-    def _clock(self, now: float) -> None:
+    def _set_clock(self, now: float) -> None:
         self.now = max(self.now, now)
         self.bucket.fill(self.now)
--- a/tests/rollout/test_watch_sessions.py
+++ b/tests/rollout/test_watch_sessions.py
@@ -280,7 +280,7 @@
     scene.run(100)
     scene.ingress("a")
     scene.run(100)
-    assert scene.closed == ["it came again"]
+    assert scene.closed == ["replaced by a newer session of the same watcher"]
     assert len(c.by_name) == 1
 
 
