--- a/rushweir/rollout/large_messages.py
+++ b/rushweir/rollout/large_messages.py
@@ -1,7 +1,7 @@
-"""What a large message takes before anything is decided by it: read, and its changes weighed. No I/O, no clock.
+"""Preparation of a large message: decoding it and computing the delta of its change set. No I/O, no clock.
 
-Nothing here changes what a watcher knows, so it may run beside the loop, on a view of it. ``Watching.received`` takes
-what was found if what is known is still what it was weighed beside; else it weighs anew.
+It changes nothing that a watcher knows, so it may run in a thread, on a view of the watcher's state.
+``Watching.received`` uses the result if the state is still that of the view; otherwise the delta is computed again.
 """
 
 from __future__ import annotations
@@ -13,18 +13,23 @@
 from rushweir.rollout.object_store import ObjectStoreError
 from rushweir.rollout.watching_ahead import Ahead, Delta
 
-LARGE_MESSAGE_CHARS = 16_384  # characters of a message: a step of some 200 partners, which takes 2 ms
+LARGE_MESSAGE_CHARS = 16_384  # a change set of some 200 partners, which takes 2 ms
 
 
 class LargeMessage:
+    """A large message and what its preparation found."""
+
     def __init__(self, text: bytes | str, key: bytes, view: Ahead) -> None:
-        self.text, self.key, self.view = text, key, view
+        """``key``: that of the sealed channel. ``view``: what the watcher knows now."""
+        self.text = text
+        self.key = key
+        self.view = view
         self.found: tuple[str, dict[str, Any]] | mail.MailError = mail.MailError("not read")
         self.change_set: ChangeSet | mail.MailError | ChangeSetError | ObjectStoreError | None = None
         self.delta: Delta | None = None
 
     def prepare(self) -> None:
-        """Raises nothing: what is wrong is told when the message is received."""
+        """Decode the message and compute its delta. Raises nothing: ``read`` and ``decoded`` raise what is wrong."""
         try:
             method, fields = self.found = mail.read(self.text, self.key)
         except mail.MailError as problem:
@@ -40,18 +45,18 @@
             self.change_set = problem
 
     def read(self) -> tuple[str, dict[str, Any]]:
-        """Raises MailError."""
+        """Return the method and the fields of the message. Raises MailError."""
         if isinstance(self.found, mail.MailError):
             raise self.found
         return self.found
 
     def decoded(self) -> ChangeSet:
-        """Raises MailError, ChangeSetError, BookError."""
+        """Return the change set of the message. Raises MailError, ChangeSetError, ObjectStoreError."""
         if not isinstance(self.change_set, ChangeSet):
-            raise self.change_set or ChangeSetError("no step")
+            raise self.change_set or ChangeSetError("not a change set")
         return self.change_set
 
 
 def decode_change_set(fields: dict[str, Any]) -> ChangeSet:
-    """Raises MailError, ChangeSetError."""
+    """Return the change set in the fields of a message. Raises MailError, ChangeSetError."""
     return unpack(mail.octets(fields, "step", mail.MOST_BODY))
--- a/tests/rollout/test_large_messages.py
+++ b/tests/rollout/test_large_messages.py
@@ -1,4 +1,4 @@
-"""Large steps: weighed beside the loop on a view, and worth as much as weighed in a turn; what a turn then costs."""
+"""Large messages: prepared in a thread on a view, with the result of handling in the loop; the cost for the loop."""
 
 from __future__ import annotations
 
@@ -13,9 +13,8 @@
 from hypothesis import strategies as st
 
 from rushweir.daemon.beside import GIVING_WAY_S, SWITCH_S, beside, giving_way
-from rushweir.rollout import packed_object_store as p
+from rushweir.rollout import packed_object_store, watching_ahead
 from rushweir.rollout import watch_mail as mail
-from rushweir.rollout import watching_ahead as ahead_module
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage
 from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
@@ -30,64 +29,65 @@
 CHANGES = st.lists(
     st.builds(Change, KEYS, st.none() | st.binary(max_size=12)), min_size=1, max_size=6, unique_by=lambda c: c.key
 )
-DO = st.sampled_from(["freeze", "applied", "refused", "fold", ""])
+ACTIONS = st.sampled_from(["freeze", "applied", "refused", "compact", ""])
 
 
 @settings(deadline=None, max_examples=60)
-@given(st.lists(st.tuples(CHANGES, DO, DO), max_size=10))
-def test_what_is_weighed_on_a_view_is_what_it_changes(log: list) -> None:
-    """Whatever happens between the view and what comes of it; and all that is counted stays true."""
-    before, p.MAX_UNPACKED_ROWS = p.MAX_UNPACKED_ROWS, 0
+@given(st.lists(st.tuples(CHANGES, ACTIONS, ACTIONS), max_size=10))
+def test_delta_computed_on_a_view_is_right_after_any_action_meanwhile(actions: list) -> None:
+    """Whatever happens between the view and the use of its delta; counts and sizes stay right too."""
+    before = packed_object_store.MAX_UNPACKED_ROWS
+    packed_object_store.MAX_UNPACKED_ROWS = 0
     try:
-        truth, book = ObjectStore(), PackedObjectStore()
-        ahead = Ahead(book)
+        truth, store = ObjectStore(), PackedObjectStore()
+        ahead = Ahead(store)
 
-        def act(what: str) -> None:
-            if what == "freeze" and ahead.applying is None and ahead.rows:
+        def act(action: str) -> None:
+            if action == "freeze" and ahead.applying is None and ahead.rows:
                 frozen = ahead.freeze()
-                at = {key: data for key, _, data in book.objects()}
+                at = {key: data for key, _, data in store.objects()}
                 for c in frozen.changes:
                     at.pop(c.key, None) if c.data is None else at.update({c.key: c.data})
                 assert frozen.version == ahead.version
                 assert at == {key: data for key, _, data in truth.objects()}
-            elif what == "applied" and ahead.applying is not None:
+            elif action == "applied" and ahead.applying is not None:
                 ahead.applied()
                 plain = ObjectStore()
-                plain.put([row for part in book.buckets for row in part.items()], book.version)
-                assert (book.digest(), book.count, book.size) == (plain.digest(), plain.count, plain.size)
-            elif what == "refused" and ahead.applying is not None:
+                plain.put([row for bucket in store.buckets for row in bucket.items()], store.version)
+                assert (store.digest(), store.count, store.size) == (plain.digest(), plain.count, plain.size)
+            elif action == "refused" and ahead.applying is not None:
                 ahead.refused()
-            elif what == "fold" and ahead.applying is None:
-                book.compact()
+            elif action == "compact" and ahead.applying is None:
+                store.compact()
 
-        for number, (changes, then, after) in enumerate(log, 1):
-            step = ChangeSet(number, tuple(changes))
+        for version, (changes, first_action, last_action) in enumerate(actions, 1):
+            change_set = ChangeSet(version, tuple(changes))
             view = ahead.view()
-            act(then)
-            delta = view.weigh(step)
-            truth.apply(step)
-            assert ahead.step(step, truth.digest(), delta)
+            act(first_action)
+            delta = view.weigh(change_set)
+            truth.apply(change_set)
+            assert ahead.step(change_set, truth.digest(), delta)
             assert (ahead.digest(), ahead.digests()) == (truth.digest(), truth.digests())
             assert (ahead.count, ahead.size) == (truth.count, truth.size)
-            act(after)
+            act(last_action)
     finally:
-        p.MAX_UNPACKED_ROWS = before
+        packed_object_store.MAX_UNPACKED_ROWS = before
 
 
-def step_mail(step: ChangeSet, digest: bytes) -> bytes:
-    return mail.write("rollout.step", {"step": pack(step), "digest": digest}, KEY)
+def change_set_message(change_set: ChangeSet, digest: bytes) -> bytes:
+    return mail.write("rollout.step", {"step": pack(change_set), "digest": digest}, KEY)
 
 
-def large(number: int, count: int = 400) -> ChangeSet:
-    data = (sha256(b"%d %d" % (number, n)).hexdigest().encode() for n in range(count))
-    return ChangeSet(number, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
+def large_change_set(version: int, count: int = 400) -> ChangeSet:
+    data = (sha256(b"%d %d" % (version, n)).hexdigest().encode() for n in range(count))
+    return ChangeSet(version, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
 
 
 def watching() -> tuple[Watching, int, ObjectStore]:
-    """Connected, with version 1 that it acts on; and a book as the control process has it."""
+    """Return a connected watcher that applies version 1, its connection and a copy of the control process's store."""
     s = Scene()
     c = s.control("c")
-    c.committed(s.now, large(1))
+    c.committed(s.now, large_change_set(1))
     i = s.ingress()
     s.run(1_000)
     assert i.core.version == 1
@@ -95,117 +95,119 @@
     return i.core, i.core.links.main.conn, c.store.copy()
 
 
-def test_a_large_message_may_be_weighed_before_and_a_small_one_is_not() -> None:
-    core, conn, book = watching()
-    step = large(2)
-    book.apply(step)
-    text = step_mail(step, book.digest())
+def test_large_message_is_prepared_and_a_small_one_is_not() -> None:
+    core, conn, store = watching()
+    change_set = large_change_set(2)
+    store.apply(change_set)
+    text = change_set_message(change_set, store.digest())
     assert core.weighing(b"x" * LARGE_MESSAGE_CHARS) is None
-    work = core.weighing(text)
-    assert work is not None
-    work.prepare()
-    core.received(core.now, conn, text, work)
-    assert core.ahead.digest() == book.digest()
-    (order,) = [o for o in core.orders if isinstance(o, Apply)]
-    assert sorted(order.changes, key=lambda c: c.key) == sorted(step.changes, key=lambda c: c.key)
-
-
-def test_what_was_weighed_is_weighed_again_only_beside_something_newer(monkeypatch: pytest.MonkeyPatch) -> None:
-    core, conn, book = watching()
-    first, second = large(2), large(3)
-    weighed: list[int] = []
-    real = ahead_module.Ahead.weigh
+    message = core.weighing(text)
+    assert message is not None
+    message.prepare()
+    core.received(core.now, conn, text, message)
+    assert core.ahead.digest() == store.digest()
+    (command,) = [o for o in core.orders if isinstance(o, Apply)]
+    assert sorted(command.changes, key=lambda c: c.key) == sorted(change_set.changes, key=lambda c: c.key)
+
+
+def test_delta_is_computed_again_only_if_the_state_changed_meanwhile(monkeypatch: pytest.MonkeyPatch) -> None:
+    core, conn, store = watching()
+    first, second = large_change_set(2), large_change_set(3)
+    computed: list[int] = []
+    real = watching_ahead.Ahead.weigh
     monkeypatch.setattr(
-        ahead_module.Ahead, "weigh", lambda ahead, step: (weighed.append(step.version), real(ahead, step))[1]
+        watching_ahead.Ahead,
+        "weigh",
+        lambda ahead, change_set: (computed.append(change_set.version), real(ahead, change_set))[1],
     )
     texts = []
-    for step in (first, second):
-        book.apply(step)
-        texts.append(step_mail(step, book.digest()))
-    one, two = core.weighing(texts[0]), core.weighing(texts[1])  # both beside version 1
+    for change_set in (first, second):
+        store.apply(change_set)
+        texts.append(change_set_message(change_set, store.digest()))
+    one, two = core.weighing(texts[0]), core.weighing(texts[1])  # both on version 1
     assert one is not None
     assert two is not None
     one.prepare()
     two.prepare()
-    assert weighed == [2]  # the other is no next step there
+    assert computed == [2]  # the other is not the next change set there
     core.received(core.now, conn, texts[0], one)
-    assert weighed == [2]
+    assert computed == [2]
     core.received(core.now, conn, texts[1], two)
-    assert weighed == [2, 3]
-    assert core.ahead.digest() == book.digest()
+    assert computed == [2, 3]
+    assert core.ahead.digest() == store.digest()
     stale = LargeMessage(texts[1], KEY, core.ahead.view())
     stale.prepare()
     core.received(core.now, conn, texts[1], stale)
     assert core.counts["known"] == 1
 
 
-def test_what_was_weighed_beside_objects_that_were_mended_meanwhile_is_weighed_again() -> None:
-    truth, book = ObjectStore(), PackedObjectStore()
+def test_delta_is_computed_again_after_a_repair_of_the_objects_meanwhile() -> None:
+    truth, store = ObjectStore(), PackedObjectStore()
     truth.put([(encode_key(("plan", "a")), encode_object(1, b"right"))], 1)
-    book.put([(encode_key(("plan", "a")), encode_object(1, b"altered"))], 1)
-    ahead = Ahead(book)
-    step = ChangeSet(2, (Change(("plan", "a"), b"new"),))
-    delta = ahead.view().weigh(step)
-    mend = ahead_module.Delta(ahead)
-    mend.add(encode_key(("plan", "a")), encode_object(1, b"right"))
-    assert ahead.take(mend, 1, truth.digest())
-    truth.apply(step)
-    assert ahead.step(step, truth.digest(), delta)
-
-
-def test_a_large_message_that_is_altered_or_no_step_is_refused_as_a_small_one_is() -> None:
-    core, conn, book = watching()
-    step = large(2)
-    book.apply(step)
-    good = step_mail(step, book.digest())
+    store.put([(encode_key(("plan", "a")), encode_object(1, b"altered"))], 1)
+    ahead = Ahead(store)
+    change_set = ChangeSet(2, (Change(("plan", "a"), b"new"),))
+    delta = ahead.view().weigh(change_set)
+    repair = watching_ahead.Delta(ahead)
+    repair.add(encode_key(("plan", "a")), encode_object(1, b"right"))
+    assert ahead.take(repair, 1, truth.digest())
+    truth.apply(change_set)
+    assert ahead.step(change_set, truth.digest(), delta)
+
+
+def test_altered_or_malformed_large_message_is_refused_as_a_small_one() -> None:
+    core, conn, store = watching()
+    change_set = large_change_set(2)
+    store.apply(change_set)
+    intact = change_set_message(change_set, store.digest())
     noise = b"".join(sha256(b"%d" % n).digest() for n in range(900))
-    bad = [
-        good[:200] + bytes([good[200] ^ 1]) + good[201:],
+    damaged = [
+        intact[:200] + bytes([intact[200] ^ 1]) + intact[201:],
         mail.write("rollout.step", {"step": noise, "digest": b"x" * 16}, KEY),
         mail.write("rollout.step", {"digest": b"x" * 16, "more": noise}, KEY),
     ]
-    for n, text in enumerate(bad, 1):
-        work = core.weighing(text)
-        assert work is not None
-        work.prepare()
-        core.received(core.now, conn, text, work)
+    for n, text in enumerate(damaged, 1):
+        message = core.weighing(text)
+        assert message is not None
+        message.prepare()
+        core.received(core.now, conn, text, message)
         assert (core.counts["bad_messages"], core.ahead.version) == (n, 1)
-    work = core.weighing(good)
-    assert work is not None
-    work.prepare()
-    core.received(core.now, conn, good, work)
+    message = core.weighing(intact)
+    assert message is not None
+    message.prepare()
+    core.received(core.now, conn, intact, message)
     assert core.ahead.version == 2
 
 
-def test_a_step_is_weighed_with_one_look_into_each_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = StoredSettings()
-    kept.store.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 60)) for n in range(4_000)], 1)
-    for part in kept.store.buckets:
-        part.pack()  # type: ignore[attr-defined]
-    looks: list[int] = []
-    real = p.decompress
-    monkeypatch.setattr(p, "decompress", lambda piece: (looks.append(1), real(piece))[1])
-    ahead = Ahead(kept.store)
-    step = large(2, 4_000)
-    delta = ahead.weigh(step)
-    assert len(looks) <= 256
-    ahead.take(delta, 2, b"")  # another digest: nothing is taken
+def test_delta_of_a_change_set_decompresses_each_bucket_at_most_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    stored = StoredSettings()
+    stored.store.put([(encode_key(("partner", str(n))), encode_object(1, b"x" * 60)) for n in range(4_000)], 1)
+    for bucket in stored.store.buckets:
+        bucket.pack()  # type: ignore[attr-defined]
+    decompressed: list[int] = []
+    real = packed_object_store.decompress
+    monkeypatch.setattr(packed_object_store, "decompress", lambda page: (decompressed.append(1), real(page))[1])
+    ahead = Ahead(stored.store)
+    change_set = large_change_set(2, 4_000)
+    delta = ahead.weigh(change_set)
+    assert len(decompressed) <= 256
+    ahead.take(delta, 2, b"")  # wrong digest: nothing is taken
     assert ahead.version == 1
     right = ObjectStore()
-    right.put([row for part in kept.store.buckets for row in part.items()], 1)
-    right.apply(step)
-    looks.clear()
-    assert ahead.step(step, right.digest(), delta)
+    right.put([row for bucket in stored.store.buckets for row in bucket.items()], 1)
+    right.apply(change_set)
+    decompressed.clear()
+    assert ahead.step(change_set, right.digest(), delta)
     frozen = ahead.freeze()
     assert frozen.changes
-    assert len(looks) <= 256
-    looks.clear()
+    assert len(decompressed) <= 256
+    decompressed.clear()
     ahead.applied()
-    assert looks == []  # what the loop has to do with it is no more than to lay it above
-    assert kept.store.digest() == right.digest()
+    assert decompressed == []  # in the loop the rows are only put over the pages
+    assert stored.store.digest() == right.digest()
 
 
-def test_work_beside_the_loop_gives_way_until_the_last_of_it_is_done() -> None:
+def test_threads_give_way_to_the_loop_until_the_last_one_is_done() -> None:
     async def body() -> None:
         first, second = threading.Event(), threading.Event()
         one = asyncio.create_task(beside(first.wait, 10))
@@ -225,7 +227,7 @@
     gc.unfreeze()
 
 
-def test_it_gives_way_no_more_after_work_that_failed() -> None:
+def test_threads_give_way_no_more_after_work_that_failed() -> None:
     with pytest.raises(ValueError, match="x"), giving_way():
         raise ValueError("x")
     assert sys.getswitchinterval() == pytest.approx(SWITCH_S)
