--- a/tests/rollout/test_applied_versions.py
+++ b/tests/rollout/test_applied_versions.py
@@ -25,7 +25,7 @@
     assert {s.minimum_acting_version() for s in scene.controls.values()} == {1}
     scene.commit(("p1", b"bad"))
     scene.run(6_000)
-    assert {i.core.version for i in ingresses[1:]} == {2} and ingresses[0].core.version == 1
+    assert {ingress.core.version for ingress in ingresses[1:]} == {2} and ingresses[0].core.version == 1
     assert {s.minimum_acting_version() for s in scene.controls.values()} == {1}
     for s in scene.controls.values():
         row = s.rows()[0]
@@ -33,27 +33,31 @@
         assert row["why"] == "partner p1: rate: too large here"
     scene.commit(("p1", b"good"))
     scene.run(6_000)
-    assert {s.minimum_acting_version() for s in scene.controls.values()} == {i.core.least for i in ingresses} == {3}
+    assert (
+        {s.minimum_acting_version() for s in scene.controls.values()}
+        == {ingress.core.least for ingress in ingresses}
+        == {3}
+    )
     assert all(row["why"] == "" for row in scene.controls["c"].rows())
 
 
 def test_unreachable_watcher_blocks_the_minimum_until_it_expires(scene: Scene) -> None:
-    c = scene.control("c", expire_ms=30_000)
+    control = scene.control("c", expire_ms=30_000)
     a, unreachable = scene.ingress("a"), scene.ingress("gone")
     commit_partners(scene, 3)
     scene.run(31_000)
-    assert c.minimum_acting_version() == 1
+    assert control.minimum_acting_version() == 1
     scene.ingresses.remove(unreachable)
     scene.cut(unreachable, 1, tell=False)
     scene.commit(("p1", b"new"))
     scene.run(20_000)
-    assert (a.core.version, c.minimum_acting_version(), a.core.least) == (2, 1, 1)
-    assert "not heard for 2" in c.rows()[0]["why"]
+    assert (a.core.version, control.minimum_acting_version(), a.core.least) == (2, 1, 1)
+    assert "not heard for 2" in control.rows()[0]["why"]
     scene.run(15_000)
-    assert (c.minimum_acting_version(), a.core.least) == (2, 2)
-    assert "expired" in c.rows()[0]["why"]
-    assert c.applied_versions.forget("gone") and len(c.rows()) == 1
-    assert not c.applied_versions.forget("a")
+    assert (control.minimum_acting_version(), a.core.least) == (2, 2)
+    assert "expired" in control.rows()[0]["why"]
+    assert control.applied_versions.forget("gone") and len(control.rows()) == 1
+    assert not control.applied_versions.forget("a")
 
 
 def test_starting_control_process_reports_no_minimum_until_its_knowledge_is_complete(scene: Scene) -> None:
