--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -216,7 +216,7 @@
 
     def _handle_message(self, text: bytes | str) -> None:
         try:
-            message = rpc.read(text, self.settings.max_batch)
+            message = rpc.parse(text, self.settings.max_batch)
         except rpc.RpcError as problem:
             if problem.code == rpc.PARSE_ERROR and isinstance(text, bytes) and not is_utf8(text):
                 assert self.messages is not None  # RFC 6455, 8.1: text that is not UTF-8 fails the connection
@@ -294,7 +294,7 @@
             )
         if self.settings.costs is not None:
             # Priced by its content, not by the units that it claims, which would let clients evade the quota.
-            units = amounts.units(self.settings.costs.rpc(call.method, params.get("data")).amount)
+            units = amounts.to_units(self.settings.costs.price_rpc(call.method, params.get("data")).amount)
         payload = {"partner": self.partner.name, "data": params.get("data"), "units": units}
         if key is not None:
             payload["key"] = f"{self.partner.name}/{key}"  # partners' keys don't collide
@@ -341,7 +341,7 @@
         if (
             not batch_answers.left and batch_answers.answers
         ):  # JSON-RPC 2.0, 6: no array for a batch of notifications only
-            self._send_text(rpc.array(batch_answers.answers))
+            self._send_text(rpc.batch_reply(batch_answers.answers))
 
     def _send_text(self, text: bytes) -> None:
         if self.messages is not None:
