--- a/tests/rollout/test_objects.py
+++ b/tests/rollout/test_objects.py
@@ -1,4 +1,4 @@
-"""Settings by object: the cheap split and the reading beside what holds say what the whole reading says."""
+"""Settings by object: splitting a text into blocks, and reading only the changed ones, equals reading all of it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 from hypothesis import strategies as st
 from pydantic import ValidationError
 
-from rushweir.config import ConfigError, live, load_text, reader, reading
-from rushweir.config import models as m
+from rushweir.config import ConfigError, live, load_text, models, reader, reading
 from rushweir.config.load import checked, effective_of
 from rushweir.config.objects import Refused, data_of, decode, difference, encode, objects
 from rushweir.config.reading import Reading, block, problem_of
@@ -24,14 +23,14 @@
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
 HEAD += 'class c {\n    aim 1s\n    deadline 2s\n}\nplan gold {\n    rate 5/s\n    burst 9\n}\nplan "tin foil" {\n}\n'
 TAIL = "limits {\n    largest-request 20\n}\n"
-D = [digest(str(k)).removeprefix("sha256:") for k in range(6)]
+CREDENTIALS = [digest(str(k)).removeprefix("sha256:") for k in range(6)]
 
 
 def partner(name: str, plan: str = "gold", key: int = 0, more: str = "") -> str:
-    return f"partner {name} {{\n    plan {plan}\n    credential sha256:{D[key]}\n{more}}}\n"
+    return f"partner {name} {{\n    plan {plan}\n    credential sha256:{CREDENTIALS[key]}\n{more}}}\n"
 
 
-PIECES = [
+BLOCKS = [
     *(
         partner(n, p, k)
         for n, p, k in (("a", "gold", 0), ("b", '"tin foil"', 1), ('"a b"', "gold", 2), ("c", "gold", 3))
@@ -47,7 +46,7 @@
     partner("l", "gold", 5, "    colour red\n"),
     partner("m", "gold", 5, "    plan gold\n"),
     partner("n", "gold", 5).replace("sha256:", "sha255:"),
-    "  partner\to {\n\tcredential sha256:" + D[5] + "\n plan gold\n }  # end\n",
+    "  partner\to {\n\tcredential sha256:" + CREDENTIALS[5] + "\n plan gold\n }  # end\n",
     "partner p {\n}\n",
     "partner {\n}\n",
     partner("q" * 129, "gold", 5),
@@ -84,61 +83,61 @@
     "}}\n",
     "partner y {\n    plan {\n    }\n}\n",
 ]
-texts = st.lists(st.sampled_from(PIECES), max_size=7).map("".join)
+TEXTS = st.lists(st.sampled_from(BLOCKS), max_size=7).map("".join)
 
 
-def whole(text: str):
-    """Settings, and the place of each, or the errors: by one parse and one model of the whole."""
+def read_all_at_once(text: str):
+    """Return the settings and the place of each by one parse and one model of all text. Raises ConfigError."""
     spots: dict = {}
     problems: list[Problem] = []
     directives = parse(text, "x.conf")
-    for d in [*directives, *(x for k in directives for x in k.inner or ())]:
-        if d.name == "include":
-            raise ConfigError([])  # of files, not of text: tested apart
-    raw = block(m.File, directives, (), spots, problems, top=True)
+    for directive in [*directives, *(x for k in directives for x in k.inner or ())]:
+        if directive.name == "include":
+            raise ConfigError([])  # reads files; it has a test of its own
+    raw = block(models.File, directives, (), spots, problems, top=True)
     file = None
     try:
-        file = m.File.model_validate(raw)
-    except ValidationError as bad:
-        for e in bad.errors():
-            problems.append(problem_of(e, spots, Spot("x.conf", 1, 1), problems))
+        file = models.File.model_validate(raw)
+    except ValidationError as invalid:
+        for error in invalid.errors():
+            problems.append(problem_of(error, spots, Spot("x.conf", 1, 1), problems))
     if file is not None:
         digests: dict = {}
         rules = CostRules(None)
-        for name, p in file.partners.items():
+        for name, found in file.partners.items():
             at = ("partners", name)
-            if p.plan not in file.plans:
+            if found.plan not in file.plans:
                 known = ", ".join(file.plans)
                 problems.append(
-                    Problem(spots[(*at, "plan")], f"partner {name}: no plan {p.plan!r}; known are {known}")
+                    Problem(spots[(*at, "plan")], f"partner {name}: no plan {found.plan!r}; known are {known}")
                 )
-            if p.through[0] >= 4 or p.through[1] > 4:
+            if found.through[0] >= 4 or found.through[1] > 4:
                 problems.append(Problem(spots[(*at, "through")], f"partner {name}: through: 4 ingresses there are"))
-            if (other := digests.setdefault(p.credential, name)) != name:
+            if (other := digests.setdefault(found.credential, name)) != name:
                 text = f"partner {name}: the credential is that of {other}"
                 problems.append(Problem(spots[(*at, "credential")], text))
         for route in file.costs:
             try:
                 rules.routes.add(route, route)
-            except ValueError as bad:
-                problems.append(Problem(spots[("costs", route)], f"cost: {bad}"))
+            except ValueError as error:
+                problems.append(Problem(spots[("costs", route)], f"cost: {error}"))
     if problems := list(dict.fromkeys(p for p in problems if p.text)):
         raise ConfigError(problems)
     return file, list(effective_of(file, (), spots))
 
 
-def told(bad: ConfigError) -> str:
-    return str(ConfigError(bad.problems))
+def messages_of(error: ConfigError) -> str:
+    return str(ConfigError(error.problems))
 
 
 def outcome(read, text: str):
     try:
         return read(text)
-    except ConfigError as bad:
-        return told(bad)
+    except ConfigError as error:
+        return messages_of(error)
 
 
-def now(text: str):
+def read_by_blocks(text: str):
     config = load_text(text, "x.conf", Path("."))
     return config.file, list(config.effective())
 
@@ -146,77 +145,77 @@
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(
     st.booleans(),
-    texts,
+    TEXTS,
     st.integers(0, 400),
     st.sampled_from(["", "", "", "\n", "}", "{", '"', "#", " ", "\r", "\x00"]),
 )
-@example(False, PIECES[0] + "nodes {\n" + PIECES[1], 0, "")
-@example(False, "list {\n" + PIECES[0], 0, "")
-@example(False, PIECES[0].rstrip("\n"), 0, "")
-def test_split_and_parts_equal_the_whole(tail, text, cut, noise):
+@example(False, BLOCKS[0] + "nodes {\n" + BLOCKS[1], 0, "")
+@example(False, "list {\n" + BLOCKS[0], 0, "")
+@example(False, BLOCKS[0].rstrip("\n"), 0, "")
+def test_reading_by_blocks_equals_reading_all_at_once(tail, text, cut, inserted):
     """The same settings at the same places, or the same errors at the same line and column."""
     at = len(HEAD) + cut % (len(text) + 1)
     text = HEAD + text + TAIL * tail
-    text = text[:at] + noise + text[at:]
+    text = text[:at] + inserted + text[at:]
     if re.search(r"\binclude\b", text):
         return
-    expected, found = outcome(whole, text), outcome(now, text)
+    expected, found = outcome(read_all_at_once, text), outcome(read_by_blocks, text)
     if isinstance(expected, str) or isinstance(found, str):
         assert found == expected
     else:
         assert (found[0], sorted(found[1], key=str)) == (expected[0], sorted(expected[1], key=str))
 
 
-def test_the_split_takes_blocks_out_and_leaves_every_line_where_it_was():
-    text = HEAD + "".join(PIECES[:5]) + TAIL
+def test_split_takes_blocks_out_and_keeps_the_lines_of_the_rest():
+    text = HEAD + "".join(BLOCKS[:5]) + TAIL
     rest, found = split(text)
     assert [r.name for r in found] == ["a", "b", "a b", "c", "d"]
     assert rest.count("\n") == text.count("\n") and "partner" not in rest
-    for r in found:
-        assert text.split("\n")[r.line - 1].startswith("partner")
+    for found_block in found:
+        assert text.split("\n")[found_block.line - 1].startswith("partner")
 
 
-def test_included_parts_are_named_by_their_own_file(tmp_path):
-    (tmp_path / "key.conf").write_text(f"\n  credential sha256:{D[0]}\n")
+def test_errors_and_places_of_included_text_name_its_file(tmp_path):
+    (tmp_path / "key.conf").write_text(f"\n  credential sha256:{CREDENTIALS[0]}\n")
     (tmp_path / "all.conf").write_text(
         "partner a {\n    plan gold\n    include key.conf\n}\n" + partner("b", "gold", 0)
     )
-    with pytest.raises(ConfigError) as bad:
+    with pytest.raises(ConfigError) as refused:
         load_text(HEAD + "include all.conf\n", "x.conf", tmp_path)
-    assert "all.conf:7:16: partner b: the credential is that of a" in str(bad.value)
-    config = load_text(HEAD + "include all.conf\n".replace("all", "one"), "x.conf", _one(tmp_path))
+    assert "all.conf:7:16: partner b: the credential is that of a" in str(refused.value)
+    config = load_text(HEAD + "include all.conf\n".replace("all", "one"), "x.conf", with_one_conf(tmp_path))
     (spot,) = [s.spot for s in config.effective() if s.path == ("partner", "a", "credential")]
     assert spot.file.endswith("key.conf") and (spot.line, spot.column) == (2, 14)
 
 
-def _one(folder: Path) -> Path:
+def with_one_conf(folder: Path) -> Path:
     (folder / "one.conf").write_text("partner a {\n    plan gold\n    include key.conf\n}\n")
     return folder
 
 
-# --- beside settings that hold -----------------------------------------------------------------------
+# --- reading changes of known settings ---------------------------------------------------------------
 
 
-def beside(known, text: str):
-    """A reading beside settings that hold, and its deltas taken over."""
-    found = Reading(text, "x.conf", Path("."), {g: getattr(known.file, g) for g in live.MANY})
+def read_changes(known, text: str):
+    """Read a text with the settings known before it, and apply the deltas to them."""
+    found = Reading(text, "x.conf", Path("."), {group: getattr(known.file, group) for group in live.MANY})
     config = checked(found)
-    for g in live.MANY:
-        getattr(known.file, g).adopt(found.deltas[g])
+    for group in live.MANY:
+        getattr(known.file, group).adopt(found.deltas[group])
     return config
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(st.lists(st.sampled_from(PIECES), max_size=8).map("".join), min_size=2, max_size=5))
-def test_reading_beside_what_holds_equals_reading_anew(versions):
-    """However settings change: the same settings, places, credentials and prices as a process that starts with them;
-    what is refused leaves all as it was."""
+@given(st.lists(st.lists(st.sampled_from(BLOCKS), max_size=8).map("".join), min_size=2, max_size=5))
+def test_reading_changes_equals_reading_from_the_start(versions):
+    """However settings change, they give the settings, places, credentials and prices of a process that starts with
+    them; a refused text changes nothing."""
     versions = [HEAD + v for v in versions if "include" not in v]
     config = load_text(HEAD, "x.conf", Path("."))
     for text in versions:
         expected = outcome(lambda t: load_text(t, "x.conf", Path(".")), text)
         before = (dict(config.file.partners), dict(config.file.costs), set(config.effective()))
-        found = outcome(lambda t: beside(config, t), text)  # noqa: B023 - called at once
+        found = outcome(lambda t: read_changes(config, t), text)  # noqa: B023 - called at once
         if isinstance(expected, str):
             assert found == expected
             assert (dict(config.file.partners), dict(config.file.costs), set(config.effective())) == before
@@ -230,32 +229,32 @@
         assert all(config.file.costs.routes.find(("rpc", *n.split("."))) is not None for n in rpc)
 
 
-def test_what_did_not_change_is_not_parsed(monkeypatch):
-    text = HEAD + "".join(partner(f'"p {k}"', "gold", k) for k in range(6)) + PIECES[22]
+def test_unchanged_blocks_are_not_parsed(monkeypatch):
+    text = HEAD + "".join(partner(f'"p {k}"', "gold", k) for k in range(6)) + BLOCKS[22]
     known = load_text(text, "x.conf", Path("."))
     seen = []
     parsed = reader.parse
     monkeypatch.setattr(reader, "parse", lambda *a: seen.append(a[0]) or parsed(*a))
-    held = f"plan gold\n    credential sha256:{D[3]}"
-    config = beside(known, "\n\n" + text.replace(held, held.replace("gold", '"tin foil"')))
-    assert len(seen) == 2 and "partner" not in seen[0] and "p 3" in seen[1]  # the rest, and it
+    held = f"plan gold\n    credential sha256:{CREDENTIALS[3]}"
+    config = read_changes(known, "\n\n" + text.replace(held, held.replace("gold", '"tin foil"')))
+    assert len(seen) == 2 and "partner" not in seen[0] and "p 3" in seen[1]  # the text around, the changed partner
     assert config.file.partners["p 3"].plan == "tin foil" and config.spots[("partners", "p 5", "plan")].line > 30
 
 
-def test_the_comparison_finds_a_split_that_forgets_a_line(monkeypatch):
-    """A planted fault: blank lines too few."""
+def test_comparison_finds_a_split_that_loses_a_line(monkeypatch):
+    """The injected fault removes a blank line."""
     monkeypatch.setattr(reader, "split", lambda t: (split(t)[0].replace("\n\n\n\n", "\n\n\n", 1), split(t)[1]))
-    text = HEAD + PIECES[0] + TAIL
-    assert outcome(now, text)[1] != outcome(whole, text)[1]
+    text = HEAD + BLOCKS[0] + TAIL
+    assert outcome(read_by_blocks, text)[1] != outcome(read_all_at_once, text)[1]
 
 
-# --- canonical bytes -----------------------------------------------------------------------------------
+# --- canonical encoding --------------------------------------------------------------------------------
 
 
 FULL = (
     HEAD
-    + "".join(PIECES[:5])
-    + PIECES[22]
+    + "".join(BLOCKS[:5])
+    + BLOCKS[22]
     + "cost a.b {\n    per-kilobyte 0.25\n    times x.y 2\n    least 1\n}\n"
     + TAIL
 )
@@ -267,22 +266,22 @@
 FULL += "class d {\n    aim 1s\n    deadline 5s\n    repeat keyed\n    window 2s\n}\n"
 
 
-def test_objects_and_back():
+def test_objects_are_decoded_and_encoded_again():
     config = load_text(FULL, "x.conf", Path("."))
     found = dict(objects(config))
-    assert found["partner", "d"] == f"plan gold\ncredential sha256:{D[4]}\nthrough 1 2\n".encode()
+    assert found["partner", "d"] == f"plan gold\ncredential sha256:{CREDENTIALS[4]}\nthrough 1 2\n".encode()
     assert found["plan", "tin foil"] == b"" and ("ingress", "") not in found and ("list", "") not in found
     for key in (("partner", "x"), ("zone", ""), ("trace", "y")):
         assert data_of(config, key) is None
     for (kind, name), data in found.items():
         assert data_of(config, (kind, name)) == data
-        made = decode((kind, name), data)
-        assert encode(made) == data
-        held = getattr(config.file, reading.NAMED[kind])[name] if name else getattr(config.file, kind)
-        assert made == held
+        decoded = decode((kind, name), data)
+        assert encode(decoded) == data
+        expected = getattr(config.file, reading.NAMED[kind])[name] if name else getattr(config.file, kind)
+        assert decoded == expected
 
 
-def test_the_same_meaning_has_the_same_bytes_however_it_is_written():
+def test_equal_settings_have_equal_encodings_however_they_are_written():
     written = FULL.replace("    plan gold\n", "  plan   gold # x\n").replace(
         "delay 20ms", "delay 0.02s\n    most 400ms"
     )
@@ -311,7 +310,7 @@
         (("cost", "a"), b"x" * 70_000, "", "more than 65536 bytes"),
     ],
 )
-def test_an_object_that_is_none_is_refused_by_name_and_field(key, data, field, text):
-    with pytest.raises(Refused) as bad:
+def test_malformed_object_is_refused_with_name_and_field(key, data, field, text):
+    with pytest.raises(Refused) as refused:
         decode(key, data)
-    assert bad.value.wrong[0][:2] == (key, field) and text in str(bad.value)
+    assert refused.value.wrong[0][:2] == (key, field) and text in str(refused.value)
--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -1,4 +1,4 @@
-"""Partners and cost routes in slots: what they take, and that nothing of what is gone stays."""
+"""Partners and cost routes in slots: their memory, and that removed ones leave nothing behind."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
 HEAD += "class c {\n    aim 1s\n    deadline 2s\n}\nplan gold {\n}\n"
-MOST_PARTNER, MOST_ROUTE = 420, 620  # bytes of one, with all that finds it; 16 MB for 16,000 and 9,300 leave 663 each
+# Of one partner or route with its indexes; 16 MB for 16,000 and 9,300 leave 663 bytes each.
+MAX_PARTNER_BYTES = 420
+MAX_ROUTE_BYTES = 620
 
 
-def took(text: str) -> int:
-    """Bytes that the settings of a text keep."""
-    load_text(text, "x.conf", Path("."))  # what is made once is made
+def settings_bytes(text: str) -> int:
+    """Return the bytes that the settings of a text occupy."""
+    load_text(text, "x.conf", Path("."))  # creates what is made once
     gc.collect()
     tracemalloc.start()
     try:
@@ -37,34 +39,34 @@
         tracemalloc.stop()
 
 
-def partners(count: int, word: str = "plan gold") -> str:
+def partners(count: int, plan_line: str = "plan gold") -> str:
     return "".join(
-        f"partner partner-{k:05d} {{\n    {word}\n    credential {digest(str(k))}\n}}\n" for k in range(count)
+        f"partner partner-{k:05d} {{\n    {plan_line}\n    credential {digest(str(k))}\n}}\n" for k in range(count)
     )
 
 
-def test_a_partner_and_a_route_take_little():
-    base = took(HEAD)
-    assert (took(HEAD + partners(1500)) - base) / 1500 < MOST_PARTNER
+def test_memory_per_partner_and_route_is_bounded():
+    base = settings_bytes(HEAD)
+    assert (settings_bytes(HEAD + partners(1500)) - base) / 1500 < MAX_PARTNER_BYTES
     routes = "".join(
         f'cost "POST /s{k % 50}/t{k}/{{id}}" {{\n    base 2\n    each trip.stops 0.5\n    most 40\n}}\n'
         for k in range(800)
     )
-    assert (took(HEAD + routes) - base) / 800 < MOST_ROUTE
+    assert (settings_bytes(HEAD + routes) - base) / 800 < MAX_ROUTE_BYTES
 
 
-def test_the_measure_sees_a_place_kept_for_each_value(monkeypatch):
-    """A planted fault: no two layouts are the same."""
+def test_measurement_finds_layouts_that_are_not_shared(monkeypatch):
+    """The injected fault shares no layouts."""
     monkeypatch.setattr("rushweir.config.reading.shared", lambda layout: tuple(map(tuple, map(list, layout))))
-    assert (took(HEAD + partners(300)) - took(HEAD)) / 300 > MOST_PARTNER
+    assert (settings_bytes(HEAD + partners(300)) - settings_bytes(HEAD)) / 300 > MAX_PARTNER_BYTES
 
 
 # --- routes ---------------------------------------------------------------------------------------------
 
-names = st.lists(st.sampled_from(["a", "b", "{x}", "{y}", "**"]), min_size=1, max_size=3).map(".".join)
+NAMES = st.lists(st.sampled_from(["a", "b", "{x}", "{y}", "**"]), min_size=1, max_size=3).map(".".join)
 
 
-def nodes(routes: Routes) -> int:
+def node_count(routes: Routes) -> int:
     found, todo = 0, [routes.root]
     while todo:
         node = todo.pop()
@@ -75,49 +77,58 @@
 
 @settings(max_examples=300)
 @given(
-    st.lists(st.tuples(st.booleans(), names), max_size=20), st.lists(st.sampled_from("abc"), min_size=1, max_size=3)
+    st.lists(st.tuples(st.booleans(), NAMES), max_size=20), st.lists(st.sampled_from("abc"), min_size=1, max_size=3)
 )
-def test_routes_added_and_removed_are_as_if_the_rest_alone_had_been_added(told, method):
-    routes, held = Routes(), {}
-    for add, name in told:
+def test_routes_after_removals_equal_those_with_only_the_rest_added(actions, method):
+    routes, remaining = Routes(), {}
+    for add, name in actions:
         try:
             if add:
                 routes.add(name, name)
-                held[name] = name
-            elif name in held:
-                assert routes.remove(name) == held.pop(name)
+                remaining[name] = name
+            elif name in remaining:
+                assert routes.remove(name) == remaining.pop(name)
             else:
                 Routes().add(name, name)
-                if not any(n.replace("{x}", "{y}") == name.replace("{x}", "{y}") for n in held):
+                if not any(n.replace("{x}", "{y}") == name.replace("{x}", "{y}") for n in remaining):
                     assert routes.remove(name) is None
         except RouteError:
             continue
     fresh = Routes()
-    for name in held:
+    for name in remaining:
         fresh.add(name, name)
     route = rpc_route(".".join(method))
-    assert (routes.size, nodes(routes), routes.find(route)) == (len(held), nodes(fresh), fresh.find(route))
+    assert (routes.size, node_count(routes), routes.find(route)) == (
+        len(remaining),
+        node_count(fresh),
+        fresh.find(route),
+    )
 
 
 # --- slots ----------------------------------------------------------------------------------------------
 
 
-def test_slots_are_used_again_and_hold_nothing_of_who_had_them():
-    held = Credentials({digest("a"): Partner("a", "p", 2, 1)}, ingress_count=4)
-    slot = held.slots["a"]
-    held.remove("a")
-    assert not held.digests and not held.users and held.authenticate("Bearer a") is None and len(held) == 0
-    assert held.put("b", "q", bytes.fromhex(digest("b")[7:]), (0, 0)) == slot
+def test_slots_are_reused_and_hold_nothing_of_removed_partners():
+    credentials = Credentials({digest("a"): Partner("a", "p", 2, 1)}, ingress_count=4)
+    slot = credentials.slots["a"]
+    credentials.remove("a")
+    assert (
+        not credentials.digests
+        and not credentials.users
+        and credentials.authenticate("Bearer a") is None
+        and len(credentials) == 0
+    )
+    assert credentials.put("b", "q", bytes.fromhex(digest("b")[7:]), (0, 0)) == slot
     assert (
-        held.authenticate("Bearer b") == Partner("b", "q", 4, 0) == held.partner_named("b")
-        and held.partner_named("a") is None
+        credentials.authenticate("Bearer b") == Partner("b", "q", 4, 0) == credentials.partner_named("b")
+        and credentials.partner_named("a") is None
     )
-    copy = held.copy()
+    copy = credentials.copy()
     copy.remove("b")
-    assert held.partner_named("b") is not None and dict(held) == {"b": "q"}
+    assert credentials.partner_named("b") is not None and dict(credentials) == {"b": "q"}
 
 
-def test_groups_know_where_their_objects_stand():
+def test_groups_return_the_place_of_each_object():
     group = Partners(4)
     group.places.names.append("a.conf")
     layout = (((), 0, 9), (("plan",), 1, 10))
@@ -130,11 +141,11 @@
 
 @settings(max_examples=100)
 @given(st.lists(st.tuples(st.sampled_from("abcAB"), st.sampled_from(["p", "q", None])), max_size=30), st.booleans())
-def test_rows_of_use_follow_their_partners(told, many):
+def test_usage_rows_follow_the_partners(changes, many):
     usage, plans = Usage(), dict[str, str]()
     if many:
-        usage.order = None  # as after a change of many
-    for name, plan in told:
+        usage.order = None  # as after a change of many partners
+    for name, plan in changes:
         usage.change({name: plan} if plan else {}, [] if plan else [name])
         if plan:
             plans[name] = plan
@@ -146,7 +157,7 @@
     assert len(usage.plans) <= 5
 
 
-def test_a_row_of_use_that_is_known_keeps_its_counts():
+def test_known_usage_row_keeps_its_counts():
     usage = Usage([("a", "p"), ("b", "p")])
     usage.count(0.0, "a", "served", 3.0)
     usage.set_partners([("a", "q"), ("c", "p")])
