--- a/tests/rollout/test_objects_compact.py
+++ b/tests/rollout/test_objects_compact.py
@@ -20,8 +20,7 @@
 HEAD = "ingress 0 4\nzone a\nlisten 127.0.0.1:0\nlist {\n    url ws://127.0.0.1:7000/l\n}\n"
 HEAD += "class c {\n    aim 1s\n    deadline 2s\n}\nplan gold {\n}\n"
 # Of one partner or route with its indexes; 16 MB for 16,000 and 9,300 leave 663 bytes each.
-MAX_PARTNER_BYTES = 420
-MAX_ROUTE_BYTES = 620
+MAX_PARTNER_BYTES, MAX_ROUTE_BYTES = 420, 620
 
 
 def settings_bytes(text: str) -> int:
