--- a/rushweir/config/checks.py
+++ b/rushweir/config/checks.py
@@ -11,7 +11,7 @@
 from rushweir.config.text import ConfigError, Problem, Spot
 from rushweir.console.sessions import read_users
 from rushweir.costs.routes import RouteError, shape
-from rushweir.rollout.ceilings import MOST_PLANS
+from rushweir.rollout.ceilings import MAX_PLANS
 
 
 def across(f: m.File, spots: Mapping[tuple, Spot], deltas: Mapping[str, Delta] | None = None) -> list[Problem]:
@@ -28,8 +28,8 @@
             out.append(Problem(spots[("plans", name)], f"plan {name}: slot: either all plans have one, or none"))
         elif plan.slot is not None and (other := slots.setdefault(plan.slot, name)) != name:
             out.append(Problem(spots[("plans", name, "slot")], f"plan {name}: slot: is that of {other}"))
-    if len(f.plans) > MOST_PLANS:
-        out.append(Problem(spots[("plans", next(iter(f.plans)))], f"plans: {MOST_PLANS} at most"))
+    if len(f.plans) > MAX_PLANS:
+        out.append(Problem(spots[("plans", next(iter(f.plans)))], f"plans: {MAX_PLANS} at most"))
     if not deltas:
         out += partners(f, ((name, f.partners.record(k)) for name, k in f.partners.slots.items()), spots)
     else:
--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -33,7 +33,14 @@
 from rushweir.ingress.core import Core
 from rushweir.ingress.queries import Partner
 from rushweir.ingress.websocket import Setup
-from rushweir.rollout.ceilings import ANYBODY, NOBODY, Between, Doors, SlotError, acting
+from rushweir.rollout.ceilings import (
+    UNKNOWN_CUSTOMERS,
+    UNKNOWN_GATEWAYS,
+    GatewayRange,
+    IntermediateVersions,
+    SlotError,
+    interim_plans,
+)
 from rushweir.rollout.change_sets import Change, Key
 
 FEW = 128  # changed objects of a kind that are put in place one by one, within a turn
@@ -81,7 +88,11 @@
 
 
 def assemble(
-    path: Any, kept: Iterable[tuple[Key, bytes]], version: int, between: Between | None = None, seat: int = -1
+    path: Any,
+    kept: Iterable[tuple[Key, bytes]],
+    version: int,
+    between: IntermediateVersions | None = None,
+    seat: int = -1,
 ) -> Config:
     """The settings of a start: the machine's own file, and the objects of a version, with what was ``between`` when
     they were kept: not all may act on it yet. ``kept`` is walked through twice. Raises ConfigError, Refused."""
@@ -162,58 +173,58 @@
     had = {name: held.doors[slot] for name, slot in touched if held.plans[slot] in bound}
     had = {name: doors for name, doors in had.items() if _other(doors, mine.get(name), count)}
     ways = _passed(passed, mine, count) if any(p.ceiling_rate for p in file.plans.values()) else {}
-    if ANYBODY in known.between.customers:
-        ways |= {name: (*ways.get(name, ()), NOBODY) for name in mine.put if name not in slots}
+    if UNKNOWN_CUSTOMERS in known.between.customers:
+        ways |= {name: (*ways.get(name, ()), UNKNOWN_GATEWAYS) for name in mine.put if name not in slots}
     try:
-        between = known.between.changed(version, had, ways) if count > 1 else known.between
+        between = known.between.with_changes(version, had, ways) if count > 1 else known.between
     except SlotError as bad:
         raise Refused([(("partner", next(iter(had or ways))), "through", str(bad))]) from None
     return _acting(replace(known, file=file, spots=spots, between=between), mine), deltas
 
 
-def newcomer(versions: Mapping[Key, int], version: int, least: int, lent: bool) -> Between:
+def newcomer(versions: Mapping[Key, int], version: int, least: int, lent: bool) -> IntermediateVersions:
     """What is in between for an ingress that starts with nothing, at a version. ``versions``: those that changed its
     objects last; ``least``: one that all others act on, or on a later one; ``lent``: ceilings are."""
     partners = {name: v for (kind, name), v in versions.items() if kind == "partner"}
-    return Between.of_newcomer(version, 0 if lent else least, partners)
+    return IntermediateVersions.for_new_ingress(version, 0 if lent else least, partners)
 
 
-def _passed(passed: Passed, mine: Delta, count: int) -> dict[str, tuple[Doors, ...]]:
+def _passed(passed: Passed, mine: Delta, count: int) -> dict[str, tuple[GatewayRange, ...]]:
     """The doors that partners had in skipped versions, of those that had others than they have. Those that are gone
     too: others may still act on these versions as they come back."""
-    out: dict[str, tuple[Doors, ...]] = {}
+    out: dict[str, tuple[GatewayRange, ...]] = {}
     for (kind, name), rows in passed.items():
         if kind != "partner":
             continue
         record = mine.get(name)
-        ways = (NOBODY,) if rows is None else tuple(_doors(name, data) for data in rows)
-        if ways := tuple(w for w in ways if w == NOBODY or _other(w, record, count)):
+        ways = (UNKNOWN_GATEWAYS,) if rows is None else tuple(_doors(name, data) for data in rows)
+        if ways := tuple(w for w in ways if w == UNKNOWN_GATEWAYS or _other(w, record, count)):
             out[name] = ways
     return out
 
 
-def _doors(name: str, data: bytes) -> Doors:
+def _doors(name: str, data: bytes) -> GatewayRange:
     if plain := PLAIN.fullmatch(data):
         return _plain(plain)[2]
     try:
         return decode(("partner", name), data).through  # type: ignore[attr-defined]
     except Refused:  # no version that could be acted on here; elsewhere, who knows
-        return NOBODY
+        return UNKNOWN_GATEWAYS
 
 
 def settled(known: Config, version: int) -> tuple[Config, dict[str, Delta]]:
-    """All ingresses act on a version, or on a later one; where ceilings are lent, they do so since ``OVER_TERMS`` of
-    the terms of budgets (rollout/ceilings.py)."""
+    """All ingresses act on a version, or on a later one; where ceilings are lent, they do so since ``EXPIRY_LEASES``
+    of the terms of budgets (rollout/ceilings.py)."""
     deltas = {g: _unmoved(getattr(known.file, g)) for g in MANY}
-    return _acting(replace(known, between=known.between.all_at_least(version)), deltas["partners"]), deltas
+    return _acting(replace(known, between=known.between.with_minimum_version(version)), deltas["partners"]), deltas
 
 
-def _other(doors: Doors, record: PartnerRecord | None, count: int) -> bool:
+def _other(doors: GatewayRange, record: PartnerRecord | None, count: int) -> bool:
     """Whether a partner has other doors than it had."""
     return record is None or _plainly(doors, count) != _plainly(record[2], count)
 
 
-def _plainly(doors: Doors, count: int) -> Doors:
+def _plainly(doors: GatewayRange, count: int) -> GatewayRange:
     return (0, 0) if not 0 < doors[1] < count else doors
 
 
@@ -221,13 +232,15 @@
     now = {n: (r[0], r[2]) for n in config.between.customers if (r := mine.get(n)) is not None}
     plans = {p.name: p for _, p in config.plans()} if now else {}
     lent = config.file.fleet is not None
-    ways, made = acting(config.between, now, plans, max(0, config.me), config.file.ingress[1], config.owned(), lent)
+    ways, made = interim_plans(
+        config.between, now, plans, max(0, config.me), config.file.ingress[1], config.owned(), lent
+    )
     return replace(config, ways=ways, made=tuple(made))
 
 
 def _partners(config: Config) -> dict[str, Partner]:
     """Partners as their requests are counted in between."""
-    return {n: Partner(n, a.plan, a.spread, a.first) for n, a in config.ways.items()}
+    return {n: Partner(n, a.plan, a.gateway_count, a.first_gateway) for n, a in config.ways.items()}
 
 
 def _unmoved(group: Any) -> Delta:
--- a/rushweir/config/load.py
+++ b/rushweir/config/load.py
@@ -24,7 +24,7 @@
 from rushweir.nodes.pool import PoolSettings
 from rushweir.policy.quota import OWNER_CEILING_SHARE
 from rushweir.rollout import ceilings
-from rushweir.rollout.ceilings import Acting, Between
+from rushweir.rollout.ceilings import InterimPlan, IntermediateVersions
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,8 +46,9 @@
     spots: Spots = field(default_factory=Spots, repr=False)  # where each setting was read
     files: tuple[Path, ...] = ()  # the file, and what it includes
     seat: int = -1  # the number that the fleet gave, where the settings leave that to it
-    between: Between = field(default_factory=Between)  # partners whose doors changed, and not all know it
-    ways: Mapping[str, Acting] = field(default_factory=dict)  # how these act meanwhile
+    # partners whose doors changed, and not all know it
+    between: IntermediateVersions = field(default_factory=IntermediateVersions)
+    ways: Mapping[str, InterimPlan] = field(default_factory=dict)  # how these act meanwhile
     made: tuple[i.Plan, ...] = ()  # and by which plans
 
     def effective(self) -> Iterator[Setting]:
@@ -110,7 +111,7 @@
                 )
                 for name, k in f.classes.items()
             ),
-            plans=ceilings.arranged(self.plans(), self.made),
+            plans=ceilings.plans_by_slot(self.plans(), self.made),
             rules=i.Rules(
                 f.rules.answer_slack, f.rules.drain_grace, f.rules.cold_share, f.rules.cold_time,
                 f.rules.fall_multiple, f.rules.fall_time,
--- a/rushweir/config/models.py
+++ b/rushweir/config/models.py
@@ -24,7 +24,7 @@
 )
 from rushweir.costs import amounts
 from rushweir.costs.decisions import MOST_TERMS
-from rushweir.rollout.ceilings import MOST_PLANS
+from rushweir.rollout.ceilings import MAX_PLANS
 
 Name = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[^\x00-\x1f\x7f]+$")]
 Share = Annotated[Number, Field(ge=0, le=1)]
@@ -72,7 +72,7 @@
     price: Number = 1.0
     over_worth: Number = 0.0
     over_cost: Number = 0.0
-    slot: Annotated[Whole, Field(lt=MOST_PLANS)] | None = None  # its number in the quota mail, for good
+    slot: Annotated[Whole, Field(lt=MAX_PLANS)] | None = None  # its number in the quota mail, for good
 
     @model_validator(mode="after")
     def _fits(self) -> PlanBlock:
--- a/rushweir/daemon/reloading.py
+++ b/rushweir/daemon/reloading.py
@@ -12,7 +12,7 @@
 from rushweir.daemon.beside import beside, giving_way
 from rushweir.daemon.decisions import needs_restart
 from rushweir.daemon.notify import notify, reloading
-from rushweir.rollout.ceilings import OVER_TERMS
+from rushweir.rollout.ceilings import EXPIRY_LEASES
 from rushweir.rollout.change_sets import Change
 
 
@@ -82,7 +82,7 @@
         Where ceilings are lent, what was lent by an older one is over first."""
         s = self.service
         if s.config.file.fleet is not None:
-            await asyncio.sleep(OVER_TERMS * s.config.file.budgets.term / 1000)
+            await asyncio.sleep(EXPIRY_LEASES * s.config.file.budgets.term / 1000)
         async with self.lock:
             # All partners may be held down, and free at once, where the whole fleet starts with nothing.
             many = len(s.config.between.customers) > live.FEW
--- a/rushweir/daemon/rollout_files.py
+++ b/rushweir/daemon/rollout_files.py
@@ -16,10 +16,10 @@
 from rushweir.files import replace_file
 from rushweir.rollout import kept as disk
 from rushweir.rollout.book import Book, Data, record, records
-from rushweir.rollout.ceilings import Between
+from rushweir.rollout.ceilings import IntermediateVersions
 from rushweir.rollout.change_sets import Key
 from rushweir.rollout.kept import Append, Kept
-from rushweir.rollout.watching_commands import Keep
+from rushweir.rollout.watcher_commands import Persist
 
 BOOK, LOG, BETWEEN = "rollout.book", "rollout.log", "rollout.between"
 
@@ -68,26 +68,26 @@
             kept.failed()
         return kept, wrong
 
-    def load_between(self) -> Between:
+    def load_between(self) -> IntermediateVersions:
         """Raises OSError, ValueError, TypeError."""
         if not self.between.exists():
-            return Between()
+            return IntermediateVersions()
         found = [payload for _, payload in records(self.between.read_bytes(), 0)]
         if len(found) != 1:
             raise ValueError(f"{BETWEEN} is torn or altered")
-        return Between.load(found[0])
+        return IntermediateVersions.load(found[0])
 
-    def write(self, orders: Sequence[Keep | Between]) -> None:
+    def write(self, orders: Sequence[Persist | IntermediateVersions]) -> None:
         """In their order; appended ones that follow on each other with one fsync. Raises OSError."""
         waiting: list[bytes] = []
         for order in orders:
-            if isinstance(order, Between):
+            if isinstance(order, IntermediateVersions):
                 replace_file(self.between, record(order.dump()), 0o600)
-            elif isinstance(order.what, Append):
-                waiting.append(order.what.data)
+            elif isinstance(order.operation, Append):
+                waiting.append(order.operation.data)
             else:
                 waiting.clear()  # the book has them
-                with snapshot(order.what.book) as data:
+                with snapshot(order.operation.book) as data:
                     replace_file(self.book, data, 0o600)
                     self.bytes += len(data) + len(disk.MAGIC)
                 replace_file(self.log, disk.MAGIC, 0o600)
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -1,4 +1,4 @@
-"""An ingress's settings from the control processes: a thin shell on asyncio around ``Watching``.
+"""An ingress's settings from the control processes: a thin shell on asyncio around ``Watcher``.
 
 start, with something kept      its objects, checked, before the ingress serves; no control process is needed
 start, with nothing             the first version that comes and fits; who changed after what all act on is held
@@ -30,13 +30,13 @@
 from rushweir.daemon.lock import StateLock
 from rushweir.daemon.rollout_files import Files, Objects
 from rushweir.link.websocket import Messages, client_protocol
-from rushweir.rollout.ceilings import ANYBODY, Between
+from rushweir.rollout.ceilings import UNKNOWN_CUSTOMERS, IntermediateVersions
 from rushweir.rollout.change_sets import Change
 from rushweir.rollout.kept import Kept, Rewrite
-from rushweir.rollout.watch_mail import MOST_MESSAGE
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
-from rushweir.rollout.watching_links import Connect, Disconnect
+from rushweir.rollout.watch_channel import MAX_MESSAGE_BYTES
+from rushweir.rollout.watch_connections import Connect, Disconnect
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Send
 from rushweir.rollout.weighing import Weighing
 
 MOST_UNSENT = 1_048_576  # bytes that wait in a connection; it says little, so more is a connection that is stuck
@@ -47,7 +47,7 @@
 
     def __init__(self, rollouts: Rollouts, conn: int, url: str) -> None:
         self.rollouts, self.conn = rollouts, conn
-        self.messages = Messages(client_protocol(url, MOST_MESSAGE))
+        self.messages = Messages(client_protocol(url, MAX_MESSAGE_BYTES))
         self.transport: asyncio.Transport | None = None
         self.open = False
         self.waiting: deque[bytes | str] = deque()  # behind a large one; no more is read meanwhile
@@ -83,7 +83,7 @@
         r = self.rollouts
         while self.waiting and not self.weighs:
             text = self.waiting.popleft()
-            if (work := r.core.weighing(text)) is None:
+            if (work := r.core.prepare_large_message(text)) is None:
                 r.core.received(r.clock(), self.conn, text)
             else:
                 self.weighs = True
@@ -149,17 +149,17 @@
         self.apply: Callable[[tuple[Change, ...], int, Any], Awaitable[None]] = self._first
         self.wires: dict[int, Wire] = {}
         self.dials: dict[int, asyncio.Task] = {}
-        self.writes: list[Keep | Between] = []
-        self.between = Between()  # as it is on disk, or will be
+        self.writes: list[Persist | IntermediateVersions] = []
+        self.between = IntermediateVersions()  # as it is on disk, or will be
         self.writing: asyncio.Task | None = None
         self.tasks: set[asyncio.Task] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.received_bytes = self.settled = 0
         self.broken = self.stopped = False
 
-    def _watching(self, kept: Kept) -> Watching:
+    def _watching(self, kept: Kept) -> Watcher:
         name, addresses, key = self.given
-        return Watching(self.clock(), name, addresses, kept, key, secrets.randbits(63))
+        return Watcher(self.clock(), name, addresses, kept, key, secrets.randbits(63))
 
     async def begin(self) -> Config:
         """The settings to start with: kept ones at once, else the first that come. Raises ConfigError."""
@@ -186,7 +186,7 @@
         least = self.core.least
         if version < least:  # its steps come; until then what it has may be nobody's any more
             raise Refused([(("", ""), "", f"all others act on {least} or later")])
-        frozen = self.core.ahead.frozen
+        frozen = self.core.buffer.frozen
         assert frozen is not None
         between = live.newcomer(frozen.versions, version, least, self.lent)
         try:
@@ -204,8 +204,8 @@
         ops.methods["status"] = lambda: ops.status() | {"rollout": self.status()}
 
     def status(self) -> dict[str, Any]:
-        between = Between() if self.service is None else self.service.config.between
-        held = len(between.customers.keys() - {ANYBODY})
+        between = IntermediateVersions() if self.service is None else self.service.config.between
+        held = len(between.customers.keys() - {UNKNOWN_CUSTOMERS})
         told = {"received_bytes": self.received_bytes, "written_bytes": self.files.bytes, "held_down": held}
         return self.core.status() | told | {"counts": dict(self.core.counts)}
 
@@ -227,7 +227,7 @@
     def carry_out(self) -> None:
         if self.stopped:
             return
-        orders = self.core.orders
+        orders = self.core.commands
         while orders:
             order = orders.popleft()
             match order:
@@ -242,9 +242,9 @@
                         wire.send(order.data)
                 case Apply():
                     self.spawn(self._apply(order))
-                case Keep():
+                case Persist():
                     self.writes.append(order)
-                case Note():
+                case LogEvent():
                     self.log.event(order.level, order.event, **order.fields)
         if self.writes and self.writing is None:
             self.writing = asyncio.get_running_loop().create_task(self._write())
@@ -283,10 +283,10 @@
             self.log.event("error", "rollout_failed", why=repr(problem)[:300])
 
     async def _apply(self, order: Apply) -> None:
-        many = len(order.what.rows) > live.FEW
+        many = len(order.layer.rows) > live.FEW
         try:
             changes = await beside(lambda: order.changes) if many else order.changes
-            await self.apply(changes, order.version, order.passed)
+            await self.apply(changes, order.version, order.intermediate_values)
             self._keep_between()
         except Refused as problem:
             key, field, text = problem.wrong[0]
@@ -322,21 +322,23 @@
         while self.writes:
             orders, self.writes = self.writes, []
             if self.broken:  # nothing goes behind a torn end; the book is written anew first
-                anew = (n for n, o in enumerate(orders) if isinstance(o, Keep) and isinstance(o.what, Rewrite))
+                anew = (
+                    n for n, o in enumerate(orders) if isinstance(o, Persist) and isinstance(o.operation, Rewrite)
+                )
                 orders = orders[next(anew, len(orders)) :]
                 orders = [self.between, *orders] if orders else []
             if not orders:
                 continue
             try:
-                whole = any(isinstance(o, Keep) and isinstance(o.what, Rewrite) for o in orders)
+                whole = any(isinstance(o, Persist) and isinstance(o.operation, Rewrite) for o in orders)
                 await (beside if whole else asyncio.to_thread)(self.files.write, orders)
             except OSError as problem:
                 self.broken = True
-                self.core.keep_failed(self.clock(), str(problem))
+                self.core.persist_failed(self.clock(), str(problem))
             else:
                 self.broken = False
-                if kept := [o.version for o in orders if isinstance(o, Keep)]:
-                    self.core.kept(self.clock(), kept[-1])
+                if kept := [o.version for o in orders if isinstance(o, Persist)]:
+                    self.core.persisted(self.clock(), kept[-1])
             with contextlib.suppress(RuntimeError):  # the loop ends
                 self.writing_done()
         self.writing = None
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -18,7 +18,7 @@
 from rushweir.fleet.status import status
 from rushweir.fleet.views import ACTIVE
 from rushweir.ingress import commands as c
-from rushweir.rollout.ceilings import CLOSED
+from rushweir.rollout.ceilings import BLOCKED
 
 if TYPE_CHECKING:
     from rushweir.ingress.core import Core
@@ -96,7 +96,7 @@
         if plan is not None:
             count = 0 if partner.gateway_count >= self.fleet.settings.slot_count else partner.gateway_count
             # What is between two settings is owned whole: nothing of it is lent, or kept by a home.
-            floor = 1.0 if plan.name.startswith(CLOSED) else self.floor
+            floor = 1.0 if plan.name.startswith(BLOCKED) else self.floor
             whole = BudgetTotal.from_units(
                 plan.ceiling_rate, plan.ceiling_burst, floor, partner.first_gateway if count else 0, count
             )
--- a/rushweir/lab/scale/rollout_roles.py
+++ b/rushweir/lab/scale/rollout_roles.py
@@ -17,7 +17,7 @@
 from rushweir.lab.sim.rollout_world import Control, Ingress, Wire, World
 from rushweir.rollout.change_sets import Change
 from rushweir.rollout.sending import Sending
-from rushweir.rollout.watching import Watching
+from rushweir.rollout.watcher import Watcher
 
 SEED = 1
 OBJECT = 120  # bytes of one, as a partner has
@@ -54,7 +54,7 @@
         return self._timed(super().committed, *given)
 
 
-class MeteredWatching(Metered, Watching):
+class MeteredWatching(Metered, Watcher):
     def advance(self, *given: Any) -> Any:
         return self._timed(super().advance, *given)
 
--- a/rushweir/lab/sim/rollout_plants.py
+++ b/rushweir/lab/sim/rollout_plants.py
@@ -12,11 +12,11 @@
 import random
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import ChangeSet, pack, unpack
+from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer
 from rushweir.rollout.sending import Sending
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_ahead import Ahead, Delta
+from rushweir.rollout.watcher import Watcher
 
 KINDS = ("bulky", "hasty", "unjittered", "forgotten", "unchecked", "early", "alone")
 
@@ -24,7 +24,9 @@
 class Bulky(Sending):
     def _step(self, step: ChangeSet, digest: bytes) -> bytes:
         objects = [row for part in self.book.parts for row in part.items()]
-        return mail.write("rollout.step", {"step": pack(step), "digest": digest, "objects": objects}, self.key)
+        return watch_channel.write(
+            "rollout.step", {"step": pack(step), "digest": digest, "objects": objects}, self.key
+        )
 
 
 class Forgotten(Sending):
@@ -38,35 +40,35 @@
         pass
 
 
-class Taken(Ahead):
-    def take(self, delta: Delta, version: int, digest: bytes) -> bool:
-        if super().take(delta, version, digest):
+class Taken(ReorderBuffer):
+    def take_delta(self, delta: Delta, version: int, digest: bytes) -> bool:
+        if super().take_delta(delta, version, digest):
             return True
         self.rows.update(delta.rows)
         self.version = version
         return True
 
 
-class Hasty(Watching):
-    def _step(self, fields: dict[str, Any]) -> None:
+class Hasty(Watcher):
+    def _receive_change_set(self, fields: dict[str, Any]) -> None:
         step = unpack(fields["step"])
-        if step.version <= self.ahead.version + 1:
-            super()._step(fields)
+        if step.version <= self.buffer.version + 1:
+            super()._receive_change_set(fields)
             return
-        self.ahead.__class__ = Taken
-        self.ahead.step(step, fields["digest"])
-        self.ahead.__class__ = Ahead
-        self._newer()
+        self.buffer.__class__ = Taken
+        self.buffer.take_change_set(step, fields["digest"])
+        self.buffer.__class__ = ReorderBuffer
+        self._version_advanced()
 
 
-class Unchecked(Watching):
+class Unchecked(Watcher):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.ahead = Taken(self.book)
+        self.buffer = Taken(self.book)
 
 
-class Early(Watching):
-    def _acts(self) -> int:
+class Early(Watcher):
+    def _acting_version(self) -> int:
         return self.version
 
 
@@ -75,10 +77,10 @@
         return a
 
 
-class Unjittered(Watching):
+class Unjittered(Watcher):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.links.rng = Still(0)
+        self.connections.rng = Still(0)
 
 
 SENDING = {"bulky": Bulky, "forgotten": Forgotten, "alone": Alone}
@@ -90,6 +92,6 @@
 
     def into(world: Any) -> None:
         world.sending = SENDING.get(kind, Sending)
-        world.watching = WATCHING.get(kind, Watching)
+        world.watching = WATCHING.get(kind, Watcher)
 
     return into
--- a/rushweir/lab/sim/rollout_watch.py
+++ b/rushweir/lab/sim/rollout_watch.py
@@ -18,7 +18,7 @@
 
 from rushweir.lab.sim.fleets import Broken
 from rushweir.lab.sim.rollout_world import KEY, Control, Ingress, Wire, World
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import Change, Key, pack, unpack
 from rushweir.rollout.sending_records import PIECE, Rates
 
@@ -93,7 +93,7 @@
             self.content(i, "begins with")
 
     def says(self, i: Ingress, data: bytes) -> None:
-        _, fields = mail.read(data, KEY)
+        _, fields = watch_channel.read(data, KEY)
         acts = fields.get("acts", fields.get("version") if "why" in fields else None)
         if acts is not None:
             i.word = max(i.word, acts)
@@ -110,13 +110,13 @@
             self._mend(c, wire, data)
         elif b'"rollout.step"' in data[:60] and data not in self.steps:  # the same bytes go to all
             self.steps.add(data)
-            most = MESSAGE + 1.4 * self.sizes[unpack(mail.read(data, KEY)[1]["step"]).version]
+            most = MESSAGE + 1.4 * self.sizes[unpack(watch_channel.read(data, KEY)[1]["step"]).version]
             if len(data) > most:
                 raise Broken(f"{c.name} sent a step of {len(data)} bytes, {most:.0f} by what it changes")
 
     def _mend(self, c: Control, wire: Wire, data: bytes) -> None:
         self.counts["pieces"] += 1
-        _, fields = mail.read(data, KEY)
+        _, fields = watch_channel.read(data, KEY)
         base, version = fields["base"], fields["version"]
         if base == 0:
             if wire.ingress.word > 0 and wire.ingress.version > 0:
@@ -174,8 +174,8 @@
 
     def _in_force(self, i: Ingress, head: int) -> None:
         assert i.core is not None
-        if i.core.ahead.version < head:
-            raise Broken(f"{i.name} knows {i.core.ahead.version}, and {head} is older than that")
+        if i.core.buffer.version < head:
+            raise Broken(f"{i.name} knows {i.core.buffer.version}, and {head} is older than that")
         if i.version < head and not i.core.refusal:
             raise Broken(f"{i.name} acts on {i.version}, and {head} is older than that")
 
--- a/rushweir/lab/sim/rollout_world.py
+++ b/rushweir/lab/sim/rollout_world.py
@@ -23,9 +23,9 @@
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Rates, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_commands import Apply, Keep, Send
-from rushweir.rollout.watching_links import Connect, Disconnect
+from rushweir.rollout.watch_connections import Connect, Disconnect
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply, Persist, Send
 
 KEY = b"the days' own key"
 DELAY_MS = (0.3, 8.0)
@@ -67,7 +67,7 @@
     name: str
     zone: int
     offset: float
-    core: Watching | None = None
+    core: Watcher | None = None
     wires: dict[int, Wire] = field(default_factory=dict)
     wake: float = float("inf")
     life: int = 0
@@ -84,7 +84,7 @@
 class World:
     """``make`` gives the cores, so that a fault can be planted in them."""
 
-    watching: Callable[..., Watching] = Watching
+    watching: Callable[..., Watcher] = Watcher
     sending: Callable[..., Sending] = Sending
 
     def __init__(self, seed: int, controls: list[int], zones: list[int], rates: Rates | None = None) -> None:
@@ -278,8 +278,8 @@
             self.tend(c)
 
     def _ingress_orders(self, i: Ingress) -> None:
-        while i.core is not None and i.core.orders:
-            order = i.core.orders.popleft()
+        while i.core is not None and i.core.commands:
+            order = i.core.commands.popleft()
             if isinstance(order, Connect):
                 self._dials(i, order)
             elif isinstance(order, Disconnect):
@@ -293,10 +293,10 @@
                     self.say(wire, "up", order.data)
             elif isinstance(order, Apply):
                 self.later(self.rng.uniform(0.1, 5.0), self._applies, i, i.core, order)
-            elif isinstance(order, Keep):
+            elif isinstance(order, Persist):
                 after = i.writing[-1][0] if i.writing else self.now
                 due = max(self.now, after) + self.rng.uniform(*DISK_MS)
-                i.writing.append((due, order.what, order.version))
+                i.writing.append((due, order.operation, order.version))
                 self.later(due - self.now, self._written, i, i.core)
 
     def says(self, i: Ingress, data: bytes) -> None:
@@ -356,7 +356,7 @@
             i.files = (i.files[0], i.files[1] + what.data)
         else:
             i.files = (what.book.dump(), disk.MAGIC)
-        life.kept(i.offset + self.now, version)
+        life.persisted(i.offset + self.now, version)
         self.tend(i)
 
     # --- the log ---------------------------------------------------------------------------------
--- a/rushweir/rollout/book.py
+++ b/rushweir/rollout/book.py
@@ -3,7 +3,7 @@
 An object is kept as one piece of bytes: the version that last changed it, eight bytes, then its data. The objects lie
 in parts by a checksum of their key. A part's digest is the sum of its objects' digests modulo 2^128, so that a change
 costs what it changes; the whole's is made of the version and the sum of all parts. A sum finds what went wrong by
-accident, not by intent: against that messages are sealed with a key (watch_mail.py).
+accident, not by intent: against that messages are sealed with a key (watch_channel.py).
 
 What was dropped leaves a tombstone with the version that dropped it, so that ``since`` can name it. Tombstones are
 bounded by MOST_GONE, the oldest go first; ``floor`` is the version of the last one that went. Below the floor
--- a/rushweir/rollout/watching_ahead.py
+++ b/rushweir/rollout/reorder_buffer.py
@@ -43,18 +43,21 @@
     weight,
     whole_digest,
 )  # fmt: skip
-from rushweir.rollout.ceilings import ANYBODY
+from rushweir.rollout.ceilings import UNKNOWN_CUSTOMERS
 from rushweir.rollout.change_sets import Change, ChangeSet, Key
 
-MOST_PASSED, MOST_WAYS = 4_096, 8  # objects of which it is kept what they were in between, and how often of each
+MAX_INTERMEDIATE_OBJECTS, MAX_VALUES_PER_OBJECT = (
+    4_096,
+    8,
+)  # objects of which it is kept what they were in between, and how often of each
 Passed = dict[str, tuple[bytes, ...] | None]  # what objects were in between; None: anything
 
 
 class Delta:
     """Changes on their way in, with what they add to the sums; they may come in pieces."""
 
-    def __init__(self, ahead: Ahead) -> None:
-        self.ahead, self.rows, self.beside = ahead, dict[str, bytes | None](), ahead.taken
+    def __init__(self, ahead: ReorderBuffer) -> None:
+        self.buffer, self.rows, self.beside = ahead, dict[str, bytes | None](), ahead.taken
         self.sums: dict[int, int] = {}
         self.count = self.size = 0  # objects and bytes more
         self.by_names = False  # what is gone is told by the names of all that is left
@@ -65,7 +68,7 @@
             self.add(text, held)
 
     def add(self, text: str, held: bytes | None) -> None:
-        old = self.rows[text] if text in self.rows else self.ahead.held(text)
+        old = self.rows[text] if text in self.rows else self.buffer.held(text)
         if held != old:
             part = part_of(text)
             gain = (weight(text, held) if held is not None else 0) - (weight(text, old) if old is not None else 0)
@@ -80,19 +83,19 @@
         """What is not named in a part is gone from it."""
         self.by_names = True
         left = {marks[at : at + MARK] for at in range(0, len(marks), MARK)}
-        for text in self.ahead.names(part):
+        for text in self.buffer.names(part):
             if mark(text) not in left:
                 self.add(text, None)
 
 
-class Frozen:
+class FrozenLayer:
     """A layer while it is applied. The book under it stays as it is meanwhile, so that all of this may be asked
     beside the loop."""
 
-    def __init__(self, ahead: Ahead, rows: Mapping[str, bytes | None]) -> None:
+    def __init__(self, ahead: ReorderBuffer, rows: Mapping[str, bytes | None]) -> None:
         self.book, self.rows, self.version = ahead.book, rows, ahead.version
         self.sums, self.tally = list(ahead.sums), (ahead.count, ahead.size)
-        self._passed = ahead.passed
+        self._passed = ahead.intermediate_values
         self._changes: tuple[Change, ...] | None = None
         self._parts: dict[int, dict[str, bytes | None]] | None = None
 
@@ -106,7 +109,7 @@
         return self._changes
 
     @property
-    def passed(self) -> dict[Key, tuple[bytes, ...] | None]:
+    def intermediate_values(self) -> dict[Key, tuple[bytes, ...] | None]:
         """Objects that were something else in versions between; None: not known what."""
         known = self._passed.items()
         return {key_of(t): None if rows is None else tuple(r[8:] for r in rows) for t, rows in known}
@@ -131,7 +134,7 @@
         return self._parts
 
 
-class Ahead:
+class ReorderBuffer:
     """The newest version known, over a book of the one that is acted on."""
 
     def __init__(self, book: Book) -> None:
@@ -140,9 +143,9 @@
         self.sums, self.total = list(book.sums), book.total
         self.count, self.size = book.count, book.size
         self.taken = 0  # how often something was taken: what is known is the same as long as this is
-        self.passed: Passed = {}
+        self.intermediate_values: Passed = {}
         self.applying: Mapping[str, bytes | None] | None = None
-        self.frozen: Frozen | None = None
+        self.frozen: FrozenLayer | None = None
 
     def held(self, text: str) -> bytes | None:
         if text in self.rows:
@@ -168,26 +171,26 @@
 
     # --- what comes ------------------------------------------------------------------------------
 
-    def view(self) -> Ahead:
+    def view(self) -> ReorderBuffer:
         """As it is now, for whoever looks beside the loop."""
         other = copy(self)
         other.book, other.rows = self.book.copy(), dict(self.rows)
         return other
 
-    def weigh(self, step: ChangeSet) -> Delta:
+    def prepare_delta(self, step: ChangeSet) -> Delta:
         """The next step as it changes what is known."""
         delta = Delta(self)
         delta.add_all((packed(c.key), None if c.data is None else entry(step.version, c.data)) for c in step.changes)
         return delta
 
-    def step(self, step: ChangeSet, digest: bytes, delta: Delta | None = None) -> bool:
+    def take_change_set(self, step: ChangeSet, digest: bytes, delta: Delta | None = None) -> bool:
         """Whether the next step makes the digest told; else nothing is changed. ``delta``: as it was weighed before,
         if that was beside what is known now."""
         if delta is None or delta.beside != self.taken:
-            delta = self.weigh(step)
-        return self.take(delta, step.version, digest)
+            delta = self.prepare_delta(step)
+        return self.take_delta(delta, step.version, digest)
 
-    def take(self, delta: Delta, version: int, digest: bytes) -> bool:
+    def take_delta(self, delta: Delta, version: int, digest: bytes) -> bool:
         total = (self.total + sum(delta.sums.values())) & WRAP
         if whole_digest(version, total) != digest:
             return False
@@ -200,23 +203,23 @@
             elif (was := self.rows.get(text)) is not None:
                 self._pass(text, (was,))
         if skips and delta.by_names:  # who came and went between is named nowhere
-            self._pass(packed(("partner", ANYBODY)), None)
+            self._pass(packed(("partner", UNKNOWN_CUSTOMERS)), None)
         self.rows.update(delta.rows)
         self.version, self.total = version, total
         self.count, self.size, self.taken = self.count + delta.count, self.size + delta.size, self.taken + 1
         return True
 
     def _pass(self, text: str, was: tuple[bytes, ...] | None) -> None:
-        known = self.passed.get(text, ())
-        many = len(self.passed) >= MOST_PASSED or len(known or ()) >= MOST_WAYS
-        self.passed[text] = None if was is None or known is None or many else (*known, *was)
+        known = self.intermediate_values.get(text, ())
+        many = len(self.intermediate_values) >= MAX_INTERMEDIATE_OBJECTS or len(known or ()) >= MAX_VALUES_PER_OBJECT
+        self.intermediate_values[text] = None if was is None or known is None or many else (*known, *was)
 
     # --- the one who applies ---------------------------------------------------------------------
 
-    def freeze(self) -> Frozen:
+    def freeze(self) -> FrozenLayer:
         """What is to be applied now."""
         self.applying, self.rows = self.rows, {}
-        self.frozen, self.passed = Frozen(self, self.applying), {}
+        self.frozen, self.intermediate_values = FrozenLayer(self, self.applying), {}
         return self.frozen
 
     def applied(self) -> list[Row]:
@@ -231,7 +234,7 @@
     def refused(self) -> None:
         assert self.applying is not None
         assert self.frozen is not None
-        later, self.passed = self.passed, self.frozen.known()
+        later, self.intermediate_values = self.intermediate_values, self.frozen.known()
         for text in self.rows:
             if (was := self.applying.get(text)) is not None:
                 self._pass(text, (was,))
--- a/rushweir/rollout/sending.py
+++ b/rushweir/rollout/sending.py
@@ -25,7 +25,7 @@
 from collections import Counter, deque
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.book import DIGEST, PARTS, Book, BookError, Row, entry, packed
 from rushweir.rollout.change_sets import ChangeSet, Key, pack
 from rushweir.rollout.sending_records import (
@@ -157,9 +157,9 @@
             return
         s.heard_at = now
         try:
-            method, fields = mail.read(text, self.key)
+            method, fields = watch_channel.read(text, self.key)
             self._message(s, method, fields)
-        except (mail.MailError, BookError) as problem:
+        except (watch_channel.MessageError, BookError) as problem:
             self.counts["bad_messages"] += 1
             self._drop(s, str(problem))
         self._pump()
@@ -208,18 +208,22 @@
         if method == "rollout.watch":
             self._watch(s, fields)
         elif not s.who:
-            raise mail.MailError(f"{method} before a watch")
+            raise watch_channel.MessageError(f"{method} before a watch")
         elif method == "rollout.parts":
             self._differs(s, fields)
         elif method == "rollout.acts":
-            self._acts(s, mail.whole(fields, "version"), mail.text(fields, "why"))
+            self._acts(s, watch_channel.int_field(fields, "version"), watch_channel.text_field(fields, "why"))
         elif method == "rollout.refused":
-            version, kind, name = mail.whole(fields, "version"), *(mail.text(fields, n) for n in ("kind", "name"))
-            why = f"{kind} {name}: {mail.text(fields, 'field')}: {mail.text(fields, 'text')}"[: mail.MOST_TEXT]
+            version, kind, name = (
+                watch_channel.int_field(fields, "version"),
+                *(watch_channel.text_field(fields, n) for n in ("kind", "name")),
+            )
+            why = f"{watch_channel.text_field(fields, 'field')}: {watch_channel.text_field(fields, 'text')}"
+            why = f"{kind} {name}: {why}"[: watch_channel.MAX_TEXT_CHARS]
             self.counts["refused"] += 1
-            self._acts(s, mail.whole(fields, "acts"), why, version)
+            self._acts(s, watch_channel.int_field(fields, "acts"), why, version)
         else:
-            raise mail.MailError(f"method {method!r:.40}")
+            raise watch_channel.MessageError(f"method {method!r:.40}")
 
     def _acts(self, s: Session, version: int, why: str, at: int = 0) -> None:
         old = self.standing.known.get(s.who)
@@ -227,21 +231,24 @@
             # A sign of life, or an older version came to its disk: what it refused it still refuses.
             why, at = old.why, old.at
         if not self.standing.heard(self.now, s.who, version, why, at):
-            raise mail.MailError("too many ingresses are known")
+            raise watch_channel.MessageError("too many ingresses are known")
 
     def _watch(self, s: Session, fields: dict[str, Any]) -> None:
-        if mail.whole(fields, "nonce") != s.nonce:
-            raise mail.MailError("a watch of another session")
-        who, version = mail.text(fields, "who", mail.MOST_WHO), mail.whole(fields, "version")
-        digest, repair = mail.octets(fields, "digest", DIGEST), fields.get("repair") is True
+        if watch_channel.int_field(fields, "nonce") != s.nonce:
+            raise watch_channel.MessageError("a watch of another session")
+        who, version = (
+            watch_channel.text_field(fields, "who", watch_channel.MAX_NAME_CHARS),
+            watch_channel.int_field(fields, "version"),
+        )
+        digest, repair = watch_channel.bytes_field(fields, "digest", DIGEST), fields.get("repair") is True
         if not who or s.who not in ("", who):
-            raise mail.MailError("who: a name, and the same in all of a session")
+            raise watch_channel.MessageError("who: a name, and the same in all of a session")
         old = self.sessions.get(self.by_name.get(who, -1))
         if old is not None and old is not s:
             self._drop(old, "it came again")
         s.who, self.by_name[who] = who, s.conn
         self.standing.here.add(who)
-        self._acts(s, mail.whole(fields, "acts"), "")
+        self._acts(s, watch_channel.int_field(fields, "acts"), "")
         self._out_of_line(s)
         self._places()
         self.counts["watches"] += 1
@@ -265,16 +272,16 @@
     def _ask(self, s: Session) -> None:
         s.state = ASKED
         self.counts["asked"] += 1
-        self._send(s, mail.write("rollout.ask", {}, self.key))
+        self._send(s, watch_channel.write("rollout.ask", {}, self.key))
 
     def _differs(self, s: Session, fields: dict[str, Any]) -> None:
         if s.state is not ASKED:
             return  # it watched anew meanwhile
-        version = mail.whole(fields, "version")
+        version = watch_channel.int_field(fields, "version")
         if version > self.book.version:
             s.state, s.sent = STEPS, version  # it has more than this process; nobody goes back
             return
-        s.theirs = mail.octets(fields, "digests", PARTS * DIGEST)
+        s.theirs = watch_channel.bytes_field(fields, "digests", PARTS * DIGEST)
         self.book.differing(s.theirs)  # refused now if it is no such thing
         s.sent, s.repair = version, fields.get("repair") is True
         self._line_up(s)
@@ -369,7 +376,7 @@
         self.orders.append(Send(s.conn, message))
 
     def _step(self, step: ChangeSet, digest: bytes) -> bytes:
-        return mail.write("rollout.step", {"step": pack(step), "digest": digest}, self.key)
+        return watch_channel.write("rollout.step", {"step": pack(step), "digest": digest}, self.key)
 
     def _waits(self, s: Session) -> bool:
         """Whether it is in a line here, so that it need not ask again."""
@@ -381,7 +388,7 @@
         }  # fmt: skip
         if nonce is not None:
             fields["nonce"] = nonce
-        return mail.write("rollout.beat", fields, self.key)
+        return watch_channel.write("rollout.beat", fields, self.key)
 
     def _drop(self, s: Session, why: str) -> None:
         self.orders.append(Close(s.conn, why))
--- a/rushweir/rollout/sending_records.py
+++ b/rushweir/rollout/sending_records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.book import Row
 
 BEAT_MS = 1_500.0
@@ -112,6 +112,6 @@
         more = at < len(rows) or bool(marks)
         fields = {"base": base, "version": version, "piece": number, "rows": piece, "marks": told, "more": more}
         number += 1
-        yield mail.write("rollout.mend", {**fields, "digest": b"" if more else digest}, key)
+        yield watch_channel.write("rollout.mend", {**fields, "digest": b"" if more else digest}, key)
         if not more:
             return
--- a/rushweir/rollout/watch_mail.py
+++ b/rushweir/rollout/watch_channel.py
@@ -37,15 +37,15 @@
 from rushweir.link import rpc
 
 SEAL = 16
-MOST_WHO = 128
-MOST_TEXT = 300  # characters of a reason; longer ones are cut
-MOST_MESSAGE = 2 * 1_048_576  # bytes of one message: a step of the largest size in base64, with room
-MOST_BODY = 2 * 1_048_576  # bytes, inflated
+MAX_NAME_CHARS = 128
+MAX_TEXT_CHARS = 300  # characters of a reason; longer ones are cut
+MAX_MESSAGE_BYTES = 2 * 1_048_576  # bytes of one message: a step of the largest size in base64, with room
+MAX_BODY_BYTES = 2 * 1_048_576  # bytes, inflated
 DEFLATE_FROM = 1_024  # bytes: below that there is little to win
 PLAIN, DEFLATED = b"\x00", b"\x01"
 
 
-class MailError(ValueError):
+class MessageError(ValueError):
     """A message that is not sealed with this key, or is none of these."""
 
 
@@ -61,19 +61,19 @@
 
 
 def read(text: bytes | str, key: bytes) -> tuple[str, dict[str, Any]]:
-    """Method and fields. Raises MailError."""
+    """Method and fields. Raises MessageError."""
     try:
         message = rpc.read(text)
         if not isinstance(message, rpc.Call) or not isinstance(message.params, dict):
-            raise MailError("no notification")
+            raise MessageError("no notification")
         body = b64decode(message.params["body"], validate=True)
         if b64decode(message.params["seal"], validate=True) != _seal(message.method, body, key):
-            raise MailError("the seal does not fit")
+            raise MessageError("the seal does not fit")
         fields = msgpack.unpackb(_plain(body), strict_map_key=False)
     except (rpc.RpcError, ZlibError, KeyError, TypeError, ValueError, msgpack.UnpackException) as problem:
-        raise MailError(str(problem)[:MOST_TEXT]) from None
+        raise MessageError(str(problem)[:MAX_TEXT_CHARS]) from None
     if not isinstance(fields, dict):
-        raise MailError("no map of fields")
+        raise MessageError("no map of fields")
     return message.method, fields
 
 
@@ -81,29 +81,29 @@
     if body[:1] == PLAIN:
         return body[1:]
     inflating = decompressobj()
-    plain = inflating.decompress(body[1:], MOST_BODY)
+    plain = inflating.decompress(body[1:], MAX_BODY_BYTES)
     if body[:1] != DEFLATED or not inflating.eof:
-        raise MailError(f"a body of more than {MOST_BODY} bytes, or of a form that is not known")
+        raise MessageError(f"a body of more than {MAX_BODY_BYTES} bytes, or of a form that is not known")
     return plain
 
 
-def whole(fields: dict[str, Any], name: str) -> int:
-    """A number of the fields. Raises MailError."""
+def int_field(fields: dict[str, Any], name: str) -> int:
+    """A number of the fields. Raises MessageError."""
     value = fields.get(name)
     if type(value) is not int or not 0 <= value < 1 << 63:
-        raise MailError(f"{name}: a whole number")
+        raise MessageError(f"{name}: a whole number")
     return value
 
 
-def text(fields: dict[str, Any], name: str, most: int = MOST_TEXT) -> str:
+def text_field(fields: dict[str, Any], name: str, most: int = MAX_TEXT_CHARS) -> str:
     value = fields.get(name)
     if type(value) is not str or len(value) > most:
-        raise MailError(f"{name}: text of at most {most} characters")
+        raise MessageError(f"{name}: text of at most {most} characters")
     return value
 
 
-def octets(fields: dict[str, Any], name: str, most: int) -> bytes:
+def bytes_field(fields: dict[str, Any], name: str, most: int) -> bytes:
     value = fields.get(name)
     if type(value) is not bytes or len(value) > most:
-        raise MailError(f"{name}: at most {most} bytes")
+        raise MessageError(f"{name}: at most {most} bytes")
     return value
--- a/rushweir/rollout/watching_links.py
+++ b/rushweir/rollout/watch_connections.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Link:
+class WatchConnection:
     conn: int
     place: int  # in the ingress's order
     dialed_at: float
@@ -54,9 +54,9 @@
 
 
 class Owner(Protocol):
-    orders: deque[Any]
+    commands: deque[Any]
 
-    def adopted(self) -> None:
+    def primary_changed(self) -> None:
         """Another connection is the one to watch, from its start."""
 
 
@@ -65,45 +65,47 @@
     return tuple(sorted(addresses, key=lambda a: blake2b(f"{name}\0{a}".encode(), digest_size=8).digest()))
 
 
-class Links:
+class WatchConnections:
     def __init__(self, owner: Owner, name: str, addresses: tuple[str, ...], now: float, rng: random.Random) -> None:
         self.owner, self.order, self.now, self.rng = owner, preference(name, addresses), now, rng
-        self.main: Link | None = None
-        self.trial: Link | None = None
+        self.primary: WatchConnection | None = None
+        self.trial: WatchConnection | None = None
         self.serial, self.place, self.failures, self.away = 0, 0, 0, 0
         self.dial_at = now
         self.trial_at = float("inf")
-        self.lost_main = 0
+        self.primary_losses = 0
 
     def next_at(self) -> float:
-        found = [self.dial_at] if self.main is None else [self._late(self.main)]
+        found = [self.dial_at] if self.primary is None else [self._late(self.primary)]
         if self.trial is not None:
             found.append(self._late(self.trial))
-        elif self.main is not None and self.main.nonce >= 0:
+        elif self.primary is not None and self.primary.nonce >= 0:
             found.append(self.trial_at)
         return min(found)
 
-    def _late(self, link: Link) -> float:
+    def _late(self, link: WatchConnection) -> float:
         return link.heard_at + SILENT_MS if link.open else link.dialed_at + CONNECT_MS
 
     def advance(self, now: float) -> None:
         self.now = now
-        for link in (self.main, self.trial):
+        for link in (self.primary, self.trial):
             if link is not None and now >= self._late(link):
-                self.owner.orders.append(Disconnect(link.conn))
+                self.owner.commands.append(Disconnect(link.conn))
                 self.lost(now, link.conn)
-        if self.main is None and now >= self.dial_at:
-            self.main = self._dial(self.place)
-        elif self.main is not None and self.trial is None and self.main.nonce >= 0 and now >= self.trial_at:
-            self.trial = self._dial(0 if self.main.current else (self.main.place + 1 + self.away) % len(self.order))
-
-    def _dial(self, place: int) -> Link:
+        if self.primary is None and now >= self.dial_at:
+            self.primary = self._dial(self.place)
+        elif self.primary is not None and self.trial is None and self.primary.nonce >= 0 and now >= self.trial_at:
+            self.trial = self._dial(
+                0 if self.primary.current else (self.primary.place + 1 + self.away) % len(self.order)
+            )
+
+    def _dial(self, place: int) -> WatchConnection:
         self.serial += 1
-        self.owner.orders.append(Connect(self.serial, self.order[place]))
-        return Link(self.serial, place, self.now)
+        self.owner.commands.append(Connect(self.serial, self.order[place]))
+        return WatchConnection(self.serial, place, self.now)
 
-    def link(self, conn: int) -> Link | None:
-        return next((x for x in (self.main, self.trial) if x is not None and x.conn == conn), None)
+    def link(self, conn: int) -> WatchConnection | None:
+        return next((x for x in (self.primary, self.trial) if x is not None and x.conn == conn), None)
 
     def opened(self, now: float, conn: int) -> None:
         self.now = now
@@ -117,15 +119,15 @@
         if self.trial is not None and self.trial.conn == conn:
             self.trial = None
             self._no_trial()
-        elif self.main is not None and self.main.conn == conn:
-            worked = self.main.nonce >= 0
+        elif self.primary is not None and self.primary.conn == conn:
+            worked = self.primary.nonce >= 0
             self.failures = 0 if worked else self.failures + 1
-            self.lost_main += worked
-            self.place = (self.main.place + 1) % len(self.order)
-            self.main = None
+            self.primary_losses += worked
+            self.place = (self.primary.place + 1) % len(self.order)
+            self.primary = None
             if self.trial is not None:  # what was tried beside it is the next
-                self.main, self.trial = self.trial, None
-                if self.main.nonce >= 0:
+                self.primary, self.trial = self.trial, None
+                if self.primary.nonce >= 0:
                     self._settle()
                 return
             most = PAUSE_MS[0] if self.failures < len(self.order) else PAUSE_MS[1]
@@ -150,22 +152,22 @@
         elif was is not current:
             self._plan()
 
-    def _judge(self, trial: Link) -> None:
-        main = self.main
+    def _judge(self, trial: WatchConnection) -> None:
+        main = self.primary
         self.trial = None
         if main is None or trial.current or (not main.current and trial.head > main.head):
             if main is not None:
-                self.owner.orders.append(Disconnect(main.conn))
-            self.main = trial
+                self.owner.commands.append(Disconnect(main.conn))
+            self.primary = trial
             self._settle()
         else:
-            self.owner.orders.append(Disconnect(trial.conn))
+            self.owner.commands.append(Disconnect(trial.conn))
             self._no_trial()
 
     def _settle(self) -> None:
         self.away = 0
         self._plan()
-        self.owner.adopted()
+        self.owner.primary_changed()
 
     def _no_trial(self) -> None:
         self.away += 1
@@ -173,14 +175,14 @@
 
     def _plan(self) -> None:
         """When another is tried."""
-        assert self.main is not None
+        assert self.primary is not None
         if len(self.order) < 2:
             self.trial_at = float("inf")
-        elif not self.main.current:
+        elif not self.primary.current:
             # The next one each time, and never the one that is watched.
             self.away %= len(self.order) - 1
             self.trial_at = self.now + self.rng.uniform(*STALE_MS)
-        elif self.main.place == 0:
+        elif self.primary.place == 0:
             self.trial_at = float("inf")
         else:
             self.trial_at = self.now + self.rng.uniform(*HOME_MS) * min(MOST_HOME, 1 << min(self.away, 10))
--- a/rushweir/rollout/watching.py
+++ b/rushweir/rollout/watcher.py
@@ -1,6 +1,6 @@
 """An ingress's side of the distribution: it watches one control process and acts on what it gets. No I/O, no clock.
 
-watching_links.py decides whom it watches, watching_ahead.py keeps what it knows beyond what it acts on. This one
+watch_connections.py decides whom it watches, reorder_buffer.py keeps what it knows beyond what it acts on. This one
 speaks, and gives the orders to apply and to keep.
 
     what came                                     then
@@ -14,7 +14,7 @@
     applying      event                           then
     nothing       something newer is known        order Apply, once; all from the version that is acted on
     nothing       objects of its version mended   the same
-    a version     applied                         acts on it; order Keep, and told when it is on disk
+    a version     applied                         acts on it; order Persist, and told when it is on disk
     a version     refused                         stays; told, with object and field; applied anew with the next step
 
 Order Apply is whole or nothing. It says that it acts on a version only when that is on disk too, so that no restart
@@ -27,13 +27,13 @@
 from collections import Counter, deque
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.book import DIGEST, BookError, sound
 from rushweir.rollout.change_sets import ChangeSetError, Key
 from rushweir.rollout.kept import Kept
-from rushweir.rollout.watching_ahead import Ahead, Delta, of_marks
-from rushweir.rollout.watching_commands import Apply, Keep, Note, Refusal, Send
-from rushweir.rollout.watching_links import Connect, Disconnect, Links
+from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer, of_marks
+from rushweir.rollout.watch_connections import Connect, Disconnect, WatchConnections
+from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Refusal, Send
 from rushweir.rollout.weighing import LARGE, Weighing, step_of
 
 ACTS_MS = (200.0, 2_000.0)  # between two words on what it acts on: with something new, and as a sign of life
@@ -44,29 +44,29 @@
 MOST_BAD = 5  # messages in a row
 
 
-class Watching:
+class Watcher:
     def __init__(
         self, now: float, name: str, controls: tuple[str, ...], kept: Kept, key: bytes = b"", seed: int = 0
     ) -> None:
         """Acts on what was kept from the start, if anything was."""
         self.now, self.name, self.key, self.rng = now, name, key, random.Random(seed)
-        self.orders: deque[Connect | Disconnect | Send | Apply | Keep | Note] = deque()
-        self.kept_state, self.book = kept, kept.book
-        self.ahead = Ahead(self.book)
-        self.links = Links(self, name, controls, now, self.rng)
+        self.commands: deque[Connect | Disconnect | Send | Apply | Persist | LogEvent] = deque()
+        self.stored_state, self.book = kept, kept.book
+        self.buffer = ReorderBuffer(self.book)
+        self.connections = WatchConnections(self, name, controls, now, self.rng)
         self.on_disk = self.book.version
         self.least = self.head = 0  # as the control processes tell
         self.refusal: Refusal | None = None  # of a version newer than the one that it acts on
         self.disk_why = ""
-        self.mend: Delta | None = None
-        self.pieces = 0  # of it that came
+        self.repair_delta: Delta | None = None
+        self.chunks_received = 0  # of it that came
         self.repairing = False
         self.weighed: Weighing | None = None  # of the message that is being received
         self.bad = 0
         self.retry = RETRY_MS[0]
         self.ask_at = self.keep_at = self.fold_at = float("inf")
         self.progress_at = self.acts_at = now
-        self.told = -1  # the version that it said it acts on
+        self.reported_version = -1  # the version that it said it acts on
         self.counts: Counter[str] = Counter()
         self._crowded()
 
@@ -76,11 +76,11 @@
         return self.book.version
 
     def status(self) -> dict[str, Any]:
-        link = self.links.main
+        link = self.connections.primary
         return {
-            "version": self.version, "known": max(self.ahead.version, self.head), "least": self.least,
+            "version": self.version, "known": max(self.buffer.version, self.head), "least": self.least,
             "refused": self.refusal.why() if self.refusal else "", "on_disk": self.on_disk, "disk": self.disk_why,
-            "watches": self.links.order[link.place] if link is not None and link.nonce >= 0 else "",
+            "watches": self.connections.order[link.place] if link is not None and link.nonce >= 0 else "",
             "current": link is not None and link.current,
         }  # fmt: skip
 
@@ -88,51 +88,51 @@
 
     def opened(self, now: float, conn: int) -> None:
         self.now = now
-        self.links.opened(now, conn)
+        self.connections.opened(now, conn)
 
     def lost(self, now: float, conn: int) -> None:
         self.now = now
-        main = self.links.main
+        main = self.connections.primary
         if main is not None and main.conn == conn:
             self._forget_pieces()
             self.ask_at = float("inf")
-        self.links.lost(now, conn)
+        self.connections.lost(now, conn)
 
-    def weighing(self, text: bytes | str) -> Weighing | None:
+    def prepare_large_message(self, text: bytes | str) -> Weighing | None:
         """What may be done beside the loop before a large message is ``received``; None: it is none. Messages behind
         it on its connection have to wait."""
-        return Weighing(text, self.key, self.ahead.view()) if len(text) > LARGE else None
+        return Weighing(text, self.key, self.buffer.view()) if len(text) > LARGE else None
 
     def received(self, now: float, conn: int, text: bytes | str, weighed: Weighing | None = None) -> None:
         """``weighed``: what was done with it before."""
         self.now, self.weighed = now, weighed
-        link = self.links.link(conn)
+        link = self.connections.link(conn)
         if link is None:
             return
         link.heard_at = now
         try:
-            method, fields = mail.read(text, self.key) if weighed is None else weighed.read()
+            method, fields = watch_channel.read(text, self.key) if weighed is None else weighed.read()
             if method == "rollout.beat":
                 self._beat(conn, fields)
-            elif link is not self.links.main or link.nonce < 0:
+            elif link is not self.connections.primary or link.nonce < 0:
                 return
             elif method == "rollout.step":
-                self._step(fields)
+                self._receive_change_set(fields)
             elif method == "rollout.mend":
                 self._mend(fields)
             elif method == "rollout.ask":
-                self._send("rollout.parts", self._state() | {"digests": self.ahead.digests()})
+                self._send("rollout.parts", self._state() | {"digests": self.buffer.digests()})
             self.bad = 0
-        except (mail.MailError, ChangeSetError, BookError) as problem:
+        except (watch_channel.MessageError, ChangeSetError, BookError) as problem:
             self._bad(conn, str(problem))
 
     def applied(self, now: float, version: int) -> None:
         """The changes ordered last are acted on."""
         self.now = now
-        base, rows = self.book.version, self.ahead.applied()
+        base, rows = self.book.version, self.buffer.applied()
         self.refusal = None
-        for what in self.kept_state.add(base, rows):
-            self.orders.append(Keep(what, version))
+        for what in self.stored_state.add(base, rows):
+            self.commands.append(Persist(what, version))
         self._say()
         self._apply()
         self._crowded()
@@ -140,54 +140,54 @@
     def refused(self, now: float, version: int, key: Key, field: str, text: str) -> None:
         """None of the changes ordered last is acted on."""
         self.now = now
-        self.ahead.refused()
+        self.buffer.refused()
         self.refusal = Refusal(version, key, field, text)
         self.counts["refused"] += 1
-        self.orders.append(Note("error", "settings_refused", {"version": version, "why": self.refusal.why()}))
+        self.commands.append(LogEvent("error", "settings_refused", {"version": version, "why": self.refusal.why()}))
         self._say_refused()
-        if self.ahead.version > version:
+        if self.buffer.version > version:
             self._apply()
         self._crowded()
 
-    def kept(self, now: float, version: int) -> None:
+    def persisted(self, now: float, version: int) -> None:
         self.now, self.disk_why = now, ""
         self.on_disk = max(self.on_disk, version)
         self._say()
 
-    def keep_failed(self, now: float, why: str) -> None:
+    def persist_failed(self, now: float, why: str) -> None:
         """The disk has what it had, or a torn end; all is written anew a little later."""
         self.now = now
         if not self.disk_why:
-            self.orders.append(Note("error", "settings_not_kept", {"why": why[: mail.MOST_TEXT]}))
-        self.disk_why = why[: mail.MOST_TEXT]
-        self.kept_state.failed()
+            self.commands.append(LogEvent("error", "settings_not_kept", {"why": why[: watch_channel.MAX_TEXT_CHARS]}))
+        self.disk_why = why[: watch_channel.MAX_TEXT_CHARS]
+        self.stored_state.failed()
         self.keep_at = now + KEEP_MS
         self._say()
 
     def next_at(self) -> float:
-        due = min(self.links.next_at(), self.ask_at, self.keep_at, self.fold_at)
+        due = min(self.connections.next_at(), self.ask_at, self.keep_at, self.fold_at)
         if self._watching():
             due = min(due, self.acts_at)
-            if self.head > self.ahead.version:
+            if self.head > self.buffer.version:
                 due = min(due, self.progress_at + STUCK_MS)
         return due
 
     def advance(self, now: float) -> None:
         self.now = now
-        self.links.advance(now)
+        self.connections.advance(now)
         if now >= self.keep_at:
             self.keep_at = float("inf")
-            self.orders.append(Keep(self.kept_state.whole(), self.version))
+            self.commands.append(Persist(self.stored_state.whole(), self.version))
         if now >= self.fold_at:
             self.fold_at = float("inf")
             # Not while a change is applied: whoever does that may look into the book from beside the loop.
-            if self.ahead.applying is None and self.book.fold():
+            if self.buffer.applying is None and self.book.fold():
                 self.fold_at = now + FOLD_MS
         if not self._watching():
             return
         if now >= self.ask_at:
             self._watch()
-        elif self.head > self.ahead.version and now >= self.progress_at + STUCK_MS:
+        elif self.head > self.buffer.version and now >= self.progress_at + STUCK_MS:
             self.counts["stuck"] += 1
             self._watch()
         if now >= self.acts_at:
@@ -196,44 +196,46 @@
     # --- what a control process says -------------------------------------------------------------
 
     def _beat(self, conn: int, fields: dict[str, Any]) -> None:
-        head, least = mail.whole(fields, "head"), mail.whole(fields, "least")
-        nonce = mail.whole(fields, "nonce") if "nonce" in fields else None
+        head, least = watch_channel.int_field(fields, "head"), watch_channel.int_field(fields, "least")
+        nonce = watch_channel.int_field(fields, "nonce") if "nonce" in fields else None
         self.least = max(self.least, least)
-        if self.links.main is not None and self.links.main.conn == conn:
-            if fields.get("waits") is True or head > self.head and self.head <= self.ahead.version:
+        if self.connections.primary is not None and self.connections.primary.conn == conn:
+            if fields.get("waits") is True or head > self.head and self.head <= self.buffer.version:
                 self.progress_at = self.now  # it is behind from now on, not before; or only has to wait
             self.head = head
-        self.links.beat(self.now, conn, nonce, head, fields.get("current") is True)
+        self.connections.beat(self.now, conn, nonce, head, fields.get("current") is True)
 
-    def _step(self, fields: dict[str, Any]) -> None:
+    def _receive_change_set(self, fields: dict[str, Any]) -> None:
         weighed, self.weighed = self.weighed, None
         step, delta = (step_of(fields), None) if weighed is None else (weighed.step_read(), weighed.delta)
-        digest = mail.octets(fields, "digest", DIGEST)
-        if step.version <= self.ahead.version:
+        digest = watch_channel.bytes_field(fields, "digest", DIGEST)
+        if step.version <= self.buffer.version:
             self.counts["known"] += 1
-        elif step.version > self.ahead.version + 1:
+        elif step.version > self.buffer.version + 1:
             self.counts["ahead"] += 1
             self._ask_again()
-        elif self.ahead.step(step, digest, delta):
-            self._newer()
+        elif self.buffer.take_change_set(step, digest, delta):
+            self._version_advanced()
         else:
             self._repair()
 
     def _mend(self, fields: dict[str, Any]) -> None:
-        base, version = mail.whole(fields, "base"), mail.whole(fields, "version")
-        rows, digest = fields.get("rows"), mail.octets(fields, "digest", DIGEST)
+        base, version = watch_channel.int_field(fields, "base"), watch_channel.int_field(fields, "version")
+        rows, digest = fields.get("rows"), watch_channel.bytes_field(fields, "digest", DIGEST)
         if not isinstance(rows, list):
-            raise mail.MailError("rows: an array")
-        piece = mail.whole(fields, "piece")
-        if base != self.ahead.version or version < base or piece > self.pieces:
+            raise watch_channel.MessageError("rows: an array")
+        piece = watch_channel.int_field(fields, "piece")
+        if base != self.buffer.version or version < base or piece > self.chunks_received:
             self._forget_pieces()
             self._ask_again()
             return
-        if piece < self.pieces and piece:
+        if piece < self.chunks_received and piece:
             return  # twice
         self.progress_at = self.now
-        delta = self.mend = self.mend if self.mend is not None and piece else Delta(self.ahead)
-        self.pieces = piece + 1
+        delta = self.repair_delta = (
+            self.repair_delta if self.repair_delta is not None and piece else Delta(self.buffer)
+        )
+        self.chunks_received = piece + 1
         try:
             for row in rows:
                 text, held = row
@@ -247,16 +249,16 @@
         if fields.get("more") is True:
             return
         self._forget_pieces()
-        if self.ahead.take(delta, version, digest):
+        if self.buffer.take_delta(delta, version, digest):
             self.counts["mended"] += 1
-            self._newer()
+            self._version_advanced()
         else:
             self._repair()
 
     def _forget_pieces(self) -> None:
-        self.mend, self.pieces = None, 0
+        self.repair_delta, self.chunks_received = None, 0
 
-    def _newer(self) -> None:
+    def _version_advanced(self) -> None:
         self.progress_at, self.retry, self.ask_at = self.now, RETRY_MS[0], float("inf")
         self.repairing = False
         self._apply()
@@ -264,7 +266,7 @@
     def _repair(self) -> None:
         """The digest does not fit: it may have been altered here, or what came was wrong."""
         self.counts["digest_wrong"] += 1
-        self.orders.append(Note("warning", "settings_differ", {"version": self.ahead.version}))
+        self.commands.append(LogEvent("warning", "settings_differ", {"version": self.buffer.version}))
         self.repairing = True
         self._ask_again()
 
@@ -272,38 +274,40 @@
         self.counts["bad_messages"] += 1
         self.bad += 1
         if self.bad == 1:
-            self.orders.append(Note("warning", "rollout_message_refused", {"why": why[: mail.MOST_TEXT]}))
+            self.commands.append(
+                LogEvent("warning", "rollout_message_refused", {"why": why[: watch_channel.MAX_TEXT_CHARS]})
+            )
         if self.bad >= MOST_BAD:
             self.bad = 0
-            self.orders.append(Disconnect(conn))
+            self.commands.append(Disconnect(conn))
             self.lost(self.now, conn)
-        elif self._watching() and self.links.main is not None and self.links.main.conn == conn:
+        elif self._watching() and self.connections.primary is not None and self.connections.primary.conn == conn:
             self._forget_pieces()
             self._ask_again()
 
     # --- what it says ----------------------------------------------------------------------------
 
-    def adopted(self) -> None:
+    def primary_changed(self) -> None:
         """A control process to watch, from its start."""
-        self.head = self.links.main.head if self.links.main is not None else 0
+        self.head = self.connections.primary.head if self.connections.primary is not None else 0
         self._watch()
         self._say_refused()
 
     def _watching(self) -> bool:
-        return self.links.main is not None and self.links.main.nonce >= 0
+        return self.connections.primary is not None and self.connections.primary.nonce >= 0
 
     def _state(self) -> dict[str, Any]:
-        return {"version": self.ahead.version, "acts": self._acts(), "repair": self.repairing}
+        return {"version": self.buffer.version, "acts": self._acting_version(), "repair": self.repairing}
 
-    def _acts(self) -> int:
+    def _acting_version(self) -> int:
         return min(self.version, self.on_disk)
 
     def _watch(self) -> None:
-        assert self.links.main is not None
+        assert self.connections.primary is not None
         self.ask_at, self.progress_at = float("inf"), self.now
         self._forget_pieces()
-        self.told, self.acts_at = self._acts(), self.now + ACTS_MS[1]
-        fields = {"who": self.name, "nonce": self.links.main.nonce, "digest": self.ahead.digest()}
+        self.reported_version, self.acts_at = self._acting_version(), self.now + ACTS_MS[1]
+        fields = {"who": self.name, "nonce": self.connections.primary.nonce, "digest": self.buffer.digest()}
         self.counts["watches"] += 1
         self._send("rollout.watch", self._state() | fields)
 
@@ -317,33 +321,33 @@
         """What it acts on: at once if nothing was said for a while."""
         if not self._watching():
             return
-        if not alive and self._acts() == self.told and not self.disk_why:
+        if not alive and self._acting_version() == self.reported_version and not self.disk_why:
             return
         if not alive and self.now < self.acts_at - ACTS_MS[1] + ACTS_MS[0]:
             self.acts_at = min(self.acts_at, self.now + ACTS_MS[0])
             return
-        self.told, self.acts_at = self._acts(), self.now + ACTS_MS[1]
+        self.reported_version, self.acts_at = self._acting_version(), self.now + ACTS_MS[1]
         why = f"can't keep its settings: {self.disk_why}" if self.disk_why else ""
-        self._send("rollout.acts", {"version": self.told, "why": why[: mail.MOST_TEXT]})
+        self._send("rollout.acts", {"version": self.reported_version, "why": why[: watch_channel.MAX_TEXT_CHARS]})
 
     def _say_refused(self) -> None:
         r = self.refusal
         if self._watching() and r is not None:
             told = {"kind": r.key[0], "name": r.key[1], "field": r.field, "text": r.text}
-            cut = {name: value[: mail.MOST_TEXT] for name, value in told.items()}
-            self._send("rollout.refused", {"version": r.version, "acts": self._acts(), **cut})
+            cut = {name: value[: watch_channel.MAX_TEXT_CHARS] for name, value in told.items()}
+            self._send("rollout.refused", {"version": r.version, "acts": self._acting_version(), **cut})
 
     def _send(self, method: str, fields: dict[str, Any]) -> None:
-        assert self.links.main is not None
-        self.orders.append(Send(self.links.main.conn, mail.write(method, fields, self.key)))
+        assert self.connections.primary is not None
+        self.commands.append(Send(self.connections.primary.conn, watch_channel.write(method, fields, self.key)))
 
     def _crowded(self) -> None:
         if self.book.crowded:
             self.fold_at = min(self.fold_at, self.now + FOLD_MS)
 
     def _apply(self) -> None:
-        if self.ahead.applying is None and (self.ahead.version > self.version or self.ahead.rows):
-            if self.refusal is not None and self.refusal.version == self.ahead.version:
+        if self.buffer.applying is None and (self.buffer.version > self.version or self.buffer.rows):
+            if self.refusal is not None and self.refusal.version == self.buffer.version:
                 return
-            version = self.ahead.version
-            self.orders.append(Apply(self.ahead.freeze(), version))
+            version = self.buffer.version
+            self.commands.append(Apply(self.buffer.freeze(), version))
--- a/rushweir/rollout/watching_commands.py
+++ b/rushweir/rollout/watcher_commands.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import Change, Key
 from rushweir.rollout.kept import Append, Rewrite
-from rushweir.rollout.watching_ahead import Frozen
+from rushweir.rollout.reorder_buffer import FrozenLayer
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,30 +22,30 @@
 class Apply:
     """All of it or nothing, answered by ``applied`` or ``refused``."""
 
-    what: Frozen
+    layer: FrozenLayer
     version: int
 
     @property
     def changes(self) -> tuple[Change, ...]:
         """Worked out when first asked for; may be beside the loop, which takes 1 ms for 60 objects."""
-        return self.what.changes
+        return self.layer.changes
 
     @property
-    def passed(self) -> Mapping[Key, tuple[bytes, ...] | None]:
+    def intermediate_values(self) -> Mapping[Key, tuple[bytes, ...] | None]:
         """What objects were in versions between; None: not known."""
-        return self.what.passed
+        return self.layer.intermediate_values
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """For the disk, in the order given; answered by ``kept`` or ``keep_failed``."""
+class Persist:
+    """For the disk, in the order given; answered by ``kept`` or ``persist_failed``."""
 
-    what: Append | Rewrite
+    operation: Append | Rewrite
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     level: str
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
@@ -59,4 +59,4 @@
     text: str
 
     def why(self) -> str:
-        return f"{' '.join(self.key)}: {self.field}: {self.text}"[: mail.MOST_TEXT]
+        return f"{' '.join(self.key)}: {self.field}: {self.text}"[: watch_channel.MAX_TEXT_CHARS]
--- a/tests/rollout/conftest.py
+++ b/tests/rollout/conftest.py
@@ -10,9 +10,9 @@
 from rushweir.rollout.sending import Sending
 from rushweir.rollout.sending_records import Close, Report
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_commands import Apply, Keep, Note, Send
-from rushweir.rollout.watching_links import Connect, Disconnect
+from rushweir.rollout.watch_connections import Connect, Disconnect
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Send
 
 KEY = b"a key of the test"
 
@@ -22,18 +22,18 @@
 
     def __init__(self, scene: Scene, name: str, controls: tuple[str, ...], kept: Kept | None = None) -> None:
         self.scene, self.name = scene, name
-        self.core = Watching(scene.now, name, controls, kept or Kept(), KEY, seed=len(scene.ingresses))
+        self.core = Watcher(scene.now, name, controls, kept or Kept(), KEY, seed=len(scene.ingresses))
         self.refuses: dict[Key, bytes] = {}  # objects that it does not take
         self.applies: list[tuple[int, list[Key]]] = []
-        self.notes: list[Note] = []
+        self.notes: list[LogEvent] = []
         self.wire: dict[int, tuple[str, int]] = {}
         self.got = 0  # bytes
         self.hold = False  # orders Apply are not answered
-        self.slow: list[Keep] | None = None  # orders Keep that are not answered yet; None: all are at once
+        self.slow: list[Persist] | None = None  # orders Persist that are not answered yet; None: all are at once
 
     def carry_out(self) -> None:
-        while self.core.orders:
-            order = self.core.orders.popleft()
+        while self.core.commands:
+            order = self.core.commands.popleft()
             now = self.scene.now
             if isinstance(order, Connect):
                 self.scene.connect(self, order)
@@ -41,11 +41,11 @@
                 self.scene.cut(self, order.conn, tell=False)
             elif isinstance(order, Send):
                 self.scene.up(self, order)
-            elif isinstance(order, Keep) and self.slow is not None:
+            elif isinstance(order, Persist) and self.slow is not None:
                 self.slow.append(order)
-            elif isinstance(order, Keep):
-                self.core.kept(now, order.version)
-            elif isinstance(order, Note):
+            elif isinstance(order, Persist):
+                self.core.persisted(now, order.version)
+            elif isinstance(order, LogEvent):
                 self.notes.append(order)
             elif isinstance(order, Apply) and not self.hold:
                 self.apply(order)
@@ -141,7 +141,7 @@
         while busy:
             busy = False
             for i in self.ingresses:
-                busy |= bool(i.core.orders)
+                busy |= bool(i.core.commands)
                 i.carry_out()
             for name, sending in list(self.controls.items()):
                 while sending.orders:
--- a/tests/rollout/test_applying.py
+++ b/tests/rollout/test_applying.py
@@ -20,7 +20,7 @@
 from rushweir.ingress.commands import AnswerKind
 from rushweir.ingress.core import Core
 from rushweir.ingress.queries import Partner
-from rushweir.rollout.ceilings import Between
+from rushweir.rollout.ceilings import IntermediateVersions
 from rushweir.rollout.change_sets import Change
 from rushweir.watch.usage import Usage
 
@@ -326,7 +326,7 @@
     g.step(put("a", more="through 0 2\n"))
     own = tmp_path / "own.conf"
     own.write_text(HEAD)
-    made = live.assemble(own, list(objects(g.config)), 1, Between.load(g.config.between.dump()))
+    made = live.assemble(own, list(objects(g.config)), 1, IntermediateVersions.load(g.config.between.dump()))
     assert made.ways == g.config.ways and set(made.ways) == {"a"} and made.made == g.config.made
     assert (
         made.setup().credentials.partner_named("a")
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -17,7 +17,17 @@
 from rushweir.fronts.credentials import digest
 from rushweir.ingress.core import Core
 from rushweir.rollout import ceilings
-from rushweir.rollout.ceilings import CLOSED, MOST_PLANS, Acting, Between, SlotError, Slots, among, arranged, share
+from rushweir.rollout.ceilings import (
+    BLOCKED,
+    MAX_PLANS,
+    InterimPlan,
+    IntermediateVersions,
+    PlanSlots,
+    SlotError,
+    gateway_group_size,
+    owned_share,
+    plans_by_slot,
+)
 from rushweir.rollout.change_sets import Change
 
 COUNT, STEP_MS, MAIL_MS = 4, 20.0, 7.0
@@ -152,7 +162,7 @@
     w = World(first)
 
     def run(ms: float) -> None:
-        w.run(ms, {n: [g.me for g in w.gateways if among(doors(n, g), g.me, COUNT)] for n in names})
+        w.run(ms, {n: [g.me for g in w.gateways if gateway_group_size(doors(n, g), g.me, COUNT)] for n in names})
 
     run(600.0)
     for version, step in enumerate(steps, 1):
@@ -245,7 +255,7 @@
 
 def test_it_is_found_that_new_doors_open_at_once(monkeypatch):
     """A planted fault: nothing in between."""
-    monkeypatch.setattr(live, "acting", lambda *a: ({}, []))
+    monkeypatch.setattr(live, "interim_plans", lambda *a: ({}, []))
     first = [Change(("plan", "tin"), plan(40, 20, 1)), partner("a", "tin", 0, 2)]
     w = play(first, [[partner("a", "tin", 2, 2)]], [2, 3, 0, 1], "a", by_record)
     assert over(w.spent["a"], 40, 20) > 10
@@ -259,7 +269,7 @@
     w.run(1000.0, {"a": [0, 1, 2]})
     # The old door 0 goes on with its part and the keeper's; 1 has what it owns of both, 2 nothing yet.
     assert over(w.spent["a"], 40, 20) <= 1
-    assert w.gateways[2].config.ways["a"].plan == CLOSED and w.gateways[1].config.ways["a"].plan.startswith(CLOSED)
+    assert w.gateways[2].config.ways["a"].plan == BLOCKED and w.gateways[1].config.ways["a"].plan.startswith(BLOCKED)
     assert w.gateways[1].core.setup.credentials.partner_named("a").gateway_count == 1
     w.gateways[0].step([partner("a", "tin", 1, 2)], 1, w.now)
     for g in w.gateways:
@@ -271,8 +281,8 @@
 
 
 def test_slots_stay_with_their_plans_and_are_given_again_late():
-    slots = Slots()
-    assert [slots.allot(f"p{k}", 0, 0.0) for k in range(MOST_PLANS)] == list(range(MOST_PLANS))
+    slots = PlanSlots()
+    assert [slots.allot(f"p{k}", 0, 0.0) for k in range(MAX_PLANS)] == list(range(MAX_PLANS))
     assert slots.allot("p3", 0, 0.0) == 3
     slots.drop("p3", 8)
     slots.drop("p9", 7)
@@ -287,48 +297,54 @@
 
 @given(st.lists(st.sampled_from(WAYS), min_size=1, max_size=3), st.sampled_from((0.25, 2 / 3, 1.0)))
 def test_what_doors_own_in_between_is_no_more_than_of_any_way(ways, owned):
-    parts = [share(ways, me, COUNT, owned) for me in range(COUNT)]
+    parts = [owned_share(ways, me, COUNT, owned) for me in range(COUNT)]
     for way in ways:
-        own = [owned / among(way, me, COUNT) if among(way, me, COUNT) else 0.0 for me in range(COUNT)]
+        own = [
+            owned / gateway_group_size(way, me, COUNT) if gateway_group_size(way, me, COUNT) else 0.0
+            for me in range(COUNT)
+        ]
         assert all(p <= o + 1e-12 for p, o in zip(parts, own, strict=True)) and sum(own) <= owned + 1e-9
 
 
 def test_plans_stand_at_their_slots_and_the_rest_is_closed():
     a, b = i.Plan("a", price=1.0), i.Plan("b", price=4.0)
-    found = arranged([(7, a), (2, b)], [i.Plan("l")])
-    assert len(found) == 256 and (found[7], found[2], found[MOST_PLANS].name) == (a, b, "l")
-    assert {p.name for k, p in enumerate(found) if k not in (2, 7, MOST_PLANS)} == {CLOSED}
-    assert found[0].price == 2.5 and arranged([(None, a), (None, b)]) == (a, b)
+    found = plans_by_slot([(7, a), (2, b)], [i.Plan("l")])
+    assert len(found) == 256 and (found[7], found[2], found[MAX_PLANS].name) == (a, b, "l")
+    assert {p.name for k, p in enumerate(found) if k not in (2, 7, MAX_PLANS)} == {BLOCKED}
+    assert found[0].price == 2.5 and plans_by_slot([(None, a), (None, b)]) == (a, b)
 
 
 def test_a_closed_plan_grants_nothing():
     cls = i.RequestClass("c", 1000.0, 2000.0)
     shut = i.Settings(
-        0, 1, "a", (cls,), arranged([(3, i.Plan("a", rate=9.0, burst=9.0))]), sharing=i.Sharing(peers=True)
+        0, 1, "a", (cls,), plans_by_slot([(3, i.Plan("a", rate=9.0, burst=9.0))]), sharing=i.Sharing(peers=True)
     )
     policy = Policy(shut, 1, 0.0)
     policy.handle(0.0, i.Members(i.Scope.FULL, (i.Server("n:1"),)))
     for units in (0.0, 1e-9, 1.0):
-        assert isinstance(policy.handle(5000.0, i.Request(str(units), "c", CLOSED, "x", 9000.0, units))[0], i.Refuse)
+        assert isinstance(policy.handle(5000.0, i.Request(str(units), "c", BLOCKED, "x", 9000.0, units))[0], i.Refuse)
         assert not policy.quota.decide_as_owner(77, shut.plans[200], units, 5000.0, (1, 1), 1)
     assert isinstance(policy.handle(5000.0, i.Request("y", "c", "a", "y", 9000.0))[0], i.Send)
 
 
 def test_between_is_kept_and_read_again_and_is_bounded():
-    b = Between().changed(3, {"a": (0, 1)}).changed(5, {"a": (1, 1), "b": (0, 0)})
+    b = IntermediateVersions().with_changes(3, {"a": (0, 1)}).with_changes(5, {"a": (1, 1), "b": (0, 0)})
     assert b.customers == {"a": (5, ((0, 1), (1, 1))), "b": (5, ((0, 0),))}
-    assert Between.load(b.dump()) == b and b.all_at_least(4).customers == b.customers
-    assert b.all_at_least(5).customers == {} and b.all_at_least(5).changed(5, {"c": (0, 0)}).customers == {}
+    assert IntermediateVersions.load(b.dump()) == b and b.with_minimum_version(4).customers == b.customers
+    assert (
+        b.with_minimum_version(5).customers == {}
+        and b.with_minimum_version(5).with_changes(5, {"c": (0, 0)}).customers == {}
+    )
     with pytest.raises(SlotError, match="more than 16384"):
-        Between().changed(1, {str(k): (0, 1) for k in range(16_385)})
+        IntermediateVersions().with_changes(1, {str(k): (0, 1) for k in range(16_385)})
 
 
 def test_more_ways_than_slots_are_closed():
     plans = {f"p{k}": i.Plan(f"p{k}", 9.0, 9.0, 3, 9.0, 9.0) for k in range(12)}
-    b = Between().changed(1, {f"c{k}": (0, 2) for k in range(12)})
-    ways, made = ceilings.acting(b, {f"c{k}": (f"p{k}", (0, 3)) for k in range(12)}, plans, 0, 4, 1.0)
-    assert len(made) == 8 and sum(w == Acting(CLOSED, 0) for w in ways.values()) == 5
-    assert (made[0].ceiling_rate, made[0].max_in_flight) == (3.0, 1) and made[-1].name == CLOSED
+    b = IntermediateVersions().with_changes(1, {f"c{k}": (0, 2) for k in range(12)})
+    ways, made = ceilings.interim_plans(b, {f"c{k}": (f"p{k}", (0, 3)) for k in range(12)}, plans, 0, 4, 1.0)
+    assert len(made) == 8 and sum(w == InterimPlan(BLOCKED, 0) for w in ways.values()) == 5
+    assert (made[0].ceiling_rate, made[0].max_in_flight) == (3.0, 1) and made[-1].name == BLOCKED
 
 
 def test_slots_are_checked():
--- a/tests/rollout/test_ceilings_newcomer.py
+++ b/tests/rollout/test_ceilings_newcomer.py
@@ -17,10 +17,16 @@
 from rushweir.daemon.reloading import Reloading
 from rushweir.ingress.core import Core
 from rushweir.rollout.book import PARTS, Book
-from rushweir.rollout.ceilings import ANYBODY, CLOSED, MOST_BETWEEN, NOBODY, Between
+from rushweir.rollout.ceilings import (
+    BLOCKED,
+    MAX_INTERMEDIATE_CUSTOMERS,
+    UNKNOWN_CUSTOMERS,
+    UNKNOWN_GATEWAYS,
+    IntermediateVersions,
+)
 from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.watching_ahead import Ahead, Delta
+from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer
 from tests.rollout.test_ceilings import BASE, World, over, partner, plan
 from tests.rollout.test_ceilings import COUNT as DOORS
 from tests.rollout.test_ceilings_skipped import COUNT, FIRST, WAYS, Ingress
@@ -37,7 +43,7 @@
         self.path, self.least, self.serves = path, 0, True
 
     def anew(self, truth: Book, least: int) -> None:
-        self.serves, self.least, self.ahead = False, least, Ahead(PackedBook())
+        self.serves, self.least, self.buffer = False, least, ReorderBuffer(PackedBook())
         self.difference(truth)
 
     def apply(self, good: bool) -> None:
@@ -45,14 +51,14 @@
             super().apply(good)
             return
         self.freeze()
-        frozen = self.ahead.frozen
+        frozen = self.buffer.frozen
         assert frozen is not None
         self.path.write_text(ME[COUNT].format(me=self.me))
         between = live.newcomer(frozen.versions, frozen.version, self.least, False)
         kept = [*SHARED, *((c.key, c.data) for c in frozen.changes)]
         self.config = live.assemble(self.path, kept, frozen.version, between)
         self.serves = True
-        self.ahead.applied()
+        self.buffer.applied()
 
     def settled(self, version: int) -> None:
         self.least = version
@@ -99,7 +105,7 @@
         elif what == "anew":
             x.anew(truth, least)
         else:
-            least = max(least, min(y.ahead.book.version for y in ingresses))  # never taken back
+            least = max(least, min(y.buffer.book.version for y in ingresses))  # never taken back
             x.settled(least)
         sums.append(sum(y.part() for y in ingresses))
     return sums, ingresses
@@ -122,15 +128,15 @@
 @pytest.mark.parametrize("events", [MOVED, BACK])
 def test_it_is_found_that_a_newcomer_knows_no_older_doors(tmp_path, events, monkeypatch) -> None:
     """A planted fault: it acts on its first version alone."""
-    monkeypatch.setattr(live, "newcomer", lambda *_: Between())
+    monkeypatch.setattr(live, "newcomer", lambda *_: IntermediateVersions())
     assert max(play(events, tmp_path)[0]) > 1.9
 
 
 def test_it_is_found_that_who_went_before_the_start_is_not_known(tmp_path, monkeypatch) -> None:
     """A planted fault: only who is in the first version is held down."""
 
-    def forgets(versions, _, least, __) -> Between:
-        return Between.of_newcomer(0, least, {name: v for (_, name), v in versions.items()})
+    def forgets(versions, _, least, __) -> IntermediateVersions:
+        return IntermediateVersions.for_new_ingress(0, least, {name: v for (_, name), v in versions.items()})
 
     monkeypatch.setattr(live, "newcomer", forgets)
     assert max(play(BACK, tmp_path)[0]) > 1.9
@@ -150,32 +156,39 @@
     # All act on 1: "b" is moved with each commit, "a" is not.
     _, ingresses = play([("commit", (1, 1)), ("anew", 2), ("apply", 2)], tmp_path)
     between = ingresses[2].config.between
-    assert between.customers == dict.fromkeys((ANYBODY, "a", "b"), (2, (NOBODY,))) and between.everywhere == 1
-    assert Between.load(between.dump()) == between
+    assert (
+        between.customers == dict.fromkeys((UNKNOWN_CUSTOMERS, "a", "b"), (2, (UNKNOWN_GATEWAYS,)))
+        and between.minimum_version == 1
+    )
+    assert IntermediateVersions.load(between.dump()) == between
     book = Book()
     book.take(ChangeSet(1, (partner("old", "tin"),)))
     book.take(ChangeSet(2, (partner("new", "tin"),)))
-    ahead = Ahead(PackedBook())
+    ahead = ReorderBuffer(PackedBook())
     delta = Delta(ahead)
     delta.add_all(book.since(0) or ())
-    assert ahead.take(delta, 2, book.digest())
+    assert ahead.take_delta(delta, 2, book.digest())
     versions = ahead.freeze().versions
     assert versions == {("partner", "old"): 1, ("partner", "new"): 2}
-    assert live.newcomer(versions, 2, 1, False).customers == dict.fromkeys((ANYBODY, "new"), (2, (NOBODY,)))
+    assert live.newcomer(versions, 2, 1, False).customers == dict.fromkeys(
+        (UNKNOWN_CUSTOMERS, "new"), (2, (UNKNOWN_GATEWAYS,))
+    )
     # What is lent by an older one may not be over, however long all act on it: each waits for its own change.
     lent = live.newcomer(versions, 2, 1, True)
-    assert lent.customers == {"old": (1, (NOBODY,))} | dict.fromkeys((ANYBODY, "new"), (2, (NOBODY,)))
-    assert lent.all_at_least(1).customers.keys() == {ANYBODY, "new"}
+    assert lent.customers == {"old": (1, (UNKNOWN_GATEWAYS,))} | dict.fromkeys(
+        (UNKNOWN_CUSTOMERS, "new"), (2, (UNKNOWN_GATEWAYS,))
+    )
+    assert lent.with_minimum_version(1).customers.keys() == {UNKNOWN_CUSTOMERS, "new"}
     assert not live.newcomer(versions, 2, 2, False).customers
 
 
 def test_as_many_as_a_start_finds_are_held_down_and_more_are_refused_as_ever() -> None:
-    many = Between.of_newcomer(9, 0, {str(k): 9 for k in range(MOST_BETWEEN + 5)})
-    assert len(many.customers) == MOST_BETWEEN + 6
-    assert many.changed(10, {"1": (0, 1)}).customers["1"] == (10, (NOBODY, (0, 1)))
+    many = IntermediateVersions.for_new_ingress(9, 0, {str(k): 9 for k in range(MAX_INTERMEDIATE_CUSTOMERS + 5)})
+    assert len(many.customers) == MAX_INTERMEDIATE_CUSTOMERS + 6
+    assert many.with_changes(10, {"1": (0, 1)}).customers["1"] == (10, (UNKNOWN_GATEWAYS, (0, 1)))
     with pytest.raises(live.SlotError):
-        many.changed(10, {"one more": (0, 1)})
-    assert Between.of_newcomer(9, 9, {"a": 9, "b": 3}) == Between({}, 9)
+        many.with_changes(10, {"one more": (0, 1)})
+    assert IntermediateVersions.for_new_ingress(9, 9, {"a": 9, "b": 3}) == IntermediateVersions({}, 9)
 
 
 def test_a_newcomer_and_an_old_door_share_one_whole(tmp_path) -> None:
@@ -247,19 +260,19 @@
     truth.take(ChangeSet(3, (Change(("partner", "new"), None),)))
     truth.take(ChangeSet(4, (Change(("partner", "b"), None),)))
     for named, x in zip((False, True), both, strict=True):
-        delta = Delta(x.ahead)
+        delta = Delta(x.buffer)
         if named:
             for part in range(PARTS):
                 delta.leave(part, truth.marks(part))
         else:  # as tombstones tell it
             delta.add_all(truth.since(1) or ())
-        assert x.ahead.take(delta, 4, truth.digest())
-        passed = x.ahead.freeze().passed
+        assert x.buffer.take_delta(delta, 4, truth.digest())
+        passed = x.buffer.freeze().intermediate_values
         assert passed[("partner", "b")] is None
-        assert (("partner", ANYBODY) in passed, ("partner", "new") in passed) == (named, not named)
+        assert (("partner", UNKNOWN_CUSTOMERS) in passed, ("partner", "new") in passed) == (named, not named)
     x.apply(True)
-    assert x.config.between.customers[ANYBODY] == (4, (NOBODY,))
+    assert x.config.between.customers[UNKNOWN_CUSTOMERS] == (4, (UNKNOWN_GATEWAYS,))
     x.take(*live.told(x.config, [partner("new", "tin", 0, 1)], 5))
-    assert x.config.ways["new"].plan == CLOSED
+    assert x.config.ways["new"].plan == BLOCKED
     x.settled(5)
     assert not x.config.ways and not x.config.between.customers
--- a/tests/rollout/test_ceilings_skipped.py
+++ b/tests/rollout/test_ceilings_skipped.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from rushweir.config import Config, live, load_text
-from rushweir.rollout import watching_ahead
+from rushweir.rollout import reorder_buffer
 from rushweir.rollout.book import Book, entry, packed
-from rushweir.rollout.ceilings import CLOSED, NOBODY, Between, among, share
+from rushweir.rollout.ceilings import BLOCKED, UNKNOWN_GATEWAYS, IntermediateVersions, gateway_group_size, owned_share
 from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.watching_ahead import Ahead, Delta
+from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer
 from tests.rollout.test_ceilings import BASE, World, block, over, partner, plan
 
 COUNT = 3
@@ -30,34 +30,34 @@
         self.me, self.config = me, load_text(text, "x", Path("."))
         book = PackedBook()
         book.put([row for part in truth.parts for row in part.items()], truth.version)
-        self.ahead = Ahead(book)
+        self.buffer = ReorderBuffer(book)
 
     def step(self, log: list[ChangeSet], digests: list[bytes]) -> None:
-        if self.ahead.version < len(log):
-            assert self.ahead.step(log[self.ahead.version], digests[self.ahead.version])
+        if self.buffer.version < len(log):
+            assert self.buffer.take_change_set(log[self.buffer.version], digests[self.buffer.version])
 
     def difference(self, truth: Book) -> None:
-        if self.ahead.version < truth.version:
-            delta = Delta(self.ahead)
-            rows = truth.since(self.ahead.version)
+        if self.buffer.version < truth.version:
+            delta = Delta(self.buffer)
+            rows = truth.since(self.buffer.version)
             assert rows is not None
             delta.add_all(rows)
-            assert self.ahead.take(delta, truth.version, truth.digest())
+            assert self.buffer.take_delta(delta, truth.version, truth.digest())
 
     def freeze(self) -> None:
-        if self.ahead.applying is None and self.ahead.rows:
-            self.ahead.freeze()
+        if self.buffer.applying is None and self.buffer.rows:
+            self.buffer.freeze()
 
     def apply(self, good: bool) -> None:
         self.freeze()
-        frozen = self.ahead.frozen
+        frozen = self.buffer.frozen
         if frozen is None:
             return
         if not good:
-            self.ahead.refused()
+            self.buffer.refused()
             return
-        self.take(*live.told(self.config, frozen.changes, frozen.version, frozen.passed))
-        self.ahead.applied()
+        self.take(*live.told(self.config, frozen.changes, frozen.version, frozen.intermediate_values))
+        self.buffer.applied()
 
     def take(self, config: Config, deltas: dict) -> None:
         for g in live.MANY:
@@ -71,10 +71,10 @@
         """Of a whole, what this one spends at most while it need not ask anybody, or by asking."""
         group = self.config.file.partners
         if (way := self.config.ways.get("a")) is not None:
-            return 0.0 if way.plan == CLOSED else float(way.plan.split()[1])
+            return 0.0 if way.plan == BLOCKED else float(way.plan.split()[1])
         if "a" not in group:
             return 0.0
-        size = among(group["a"].through, self.me, COUNT)
+        size = gateway_group_size(group["a"].through, self.me, COUNT)
         return 1 / size if size else 0.0
 
 
@@ -116,7 +116,7 @@
         elif what in ("apply", "refuse"):
             i.apply(what == "apply")
         else:
-            i.settled(min(x.ahead.book.version for x in ingresses))
+            i.settled(min(x.buffer.book.version for x in ingresses))
         sums.append(sum(x.part() for x in ingresses))
     return sums
 
@@ -183,38 +183,40 @@
 
 
 def test_nobody_is_no_door_and_is_kept_as_any_other() -> None:
-    assert [among(NOBODY, k, COUNT) for k in range(COUNT)] == [0] * COUNT
-    assert share([(0, 0), NOBODY], 1, COUNT, 1.0) == 0.0
-    b = Between().changed(9, {}, {"a": ((1, 1), NOBODY)})
-    assert b.customers == {"a": (9, ((1, 1), NOBODY))}
-    assert Between.load(b.dump()) == b
-    assert b.changed(10, {"a": (0, 1)}, {"a": ((1, 1),)}).customers == {"a": (10, ((1, 1), NOBODY, (0, 1)))}
-    assert b.all_at_least(9).customers == {}
-    assert b.all_at_least(9).changed(9, {}, {"a": (NOBODY,)}).customers == {}
+    assert [gateway_group_size(UNKNOWN_GATEWAYS, k, COUNT) for k in range(COUNT)] == [0] * COUNT
+    assert owned_share([(0, 0), UNKNOWN_GATEWAYS], 1, COUNT, 1.0) == 0.0
+    b = IntermediateVersions().with_changes(9, {}, {"a": ((1, 1), UNKNOWN_GATEWAYS)})
+    assert b.customers == {"a": (9, ((1, 1), UNKNOWN_GATEWAYS))}
+    assert IntermediateVersions.load(b.dump()) == b
+    assert b.with_changes(10, {"a": (0, 1)}, {"a": ((1, 1),)}).customers == {
+        "a": (10, ((1, 1), UNKNOWN_GATEWAYS, (0, 1)))
+    }
+    assert b.with_minimum_version(9).customers == {}
+    assert b.with_minimum_version(9).with_changes(9, {}, {"a": (UNKNOWN_GATEWAYS,)}).customers == {}
 
 
 def test_what_passed_is_bounded_and_beyond_the_bound_it_is_not_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watching_ahead, "MOST_PASSED", 2)
-    monkeypatch.setattr(watching_ahead, "MOST_WAYS", 3)
-    truth, ahead = Book(), Ahead(Book())
+    monkeypatch.setattr(reorder_buffer, "MAX_INTERMEDIATE_OBJECTS", 2)
+    monkeypatch.setattr(reorder_buffer, "MAX_VALUES_PER_OBJECT", 3)
+    truth, ahead = Book(), ReorderBuffer(Book())
     names = ("p", "q", "r")
     for n in range(1, 7):
         changes = tuple(Change(("partner", name), b"%d" % n) for name in (names if n < 3 else names[:1]))
         truth.take(ChangeSet(n, changes))
-        assert ahead.step(ChangeSet(n, changes), truth.digest())
-        frozen = watching_ahead.Frozen(ahead, ahead.rows)
-        assert len(frozen.passed) <= 3
-    assert frozen.passed == {("partner", "p"): None, ("partner", "q"): (b"1",), ("partner", "r"): None}
+        assert ahead.take_change_set(ChangeSet(n, changes), truth.digest())
+        frozen = reorder_buffer.FrozenLayer(ahead, ahead.rows)
+        assert len(frozen.intermediate_values) <= 3
+    assert frozen.intermediate_values == {("partner", "p"): None, ("partner", "q"): (b"1",), ("partner", "r"): None}
 
 
 def test_of_a_difference_only_what_may_have_been_something_else_is_not_known() -> None:
     book = Book()
     book.put([(packed(("partner", name)), entry(4, b"x")) for name in "pqr"], 5)
-    ahead, truth = Ahead(book), book.copy()
+    ahead, truth = ReorderBuffer(book), book.copy()
     delta = Delta(ahead)
     rows = [(packed(("partner", "p")), entry(6, b"y")), (packed(("partner", "q")), entry(8, b"y")),
             (packed(("partner", "r")), None), (packed(("partner", "new")), entry(7, b"y"))]  # fmt: skip
     truth.put(rows, 9)
     delta.add_all(rows)
-    assert ahead.take(delta, 9, truth.digest())
-    assert ahead.freeze().passed == {("partner", name): None for name in ("q", "r", "new")}
+    assert ahead.take_delta(delta, 9, truth.digest())
+    assert ahead.freeze().intermediate_values == {("partner", name): None for name in ("q", "r", "new")}
--- a/tests/rollout/test_packed.py
+++ b/tests/rollout/test_packed.py
@@ -20,7 +20,7 @@
 from rushweir.rollout.change_sets import Change, ChangeSet
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.watching import FOLD_MS, Watching
+from rushweir.rollout.watcher import FOLD_MS, Watcher
 from tests.rollout.test_book import parted
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
@@ -196,8 +196,8 @@
     kept = Kept()
     kept.book.put([(packed(("partner", str(n))), entry(1, b"x" * 50)) for n in range(3 * p.LOOSE)], 1)
     digest = kept.book.digest()
-    core = Watching(0.0, "i", ("c",), kept)
-    core.ahead.freeze()
+    core = Watcher(0.0, "i", ("c",), kept)
+    core.buffer.freeze()
     core.advance(FOLD_MS)
     assert not any(part.piece for part in kept.book.parts)  # type: ignore[attr-defined]
     core.refused(2 * FOLD_MS, 1, ("", ""), "", "")
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-from tests.rollout.rollout_stage import Site, partner, play
+from tests.rollout.rollout_harness import Site, partner, play
 
 DOORS = ("door-a", "door-b", "door-c")
 
--- a/tests/rollout/test_sending.py
+++ b/tests/rollout/test_sending.py
@@ -7,8 +7,7 @@
 import pytest
 
 from rushweir.rollout import book as b
-from rushweir.rollout import sending, sending_records
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import sending, sending_records, watch_channel
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, ChangeSet
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.sending_records import Rates
@@ -16,7 +15,7 @@
 
 
 def methods(scene: Scene) -> list[str]:
-    return [m for _, _, data in scene.sent if (m := mail.read(data, KEY)[0]) != "rollout.beat"]
+    return [m for _, _, data in scene.sent if (m := watch_channel.read(data, KEY)[0]) != "rollout.beat"]
 
 
 def data(n: int) -> bytes:
@@ -74,10 +73,14 @@
     i = scene.ingress(kept=kept)
     scene.run(1_000)
     assert methods(scene) == ["rollout.ask", "rollout.mend"]
-    assert (i.core.version, i.core.ahead.digest()) == (41, c.book.digest())
+    assert (i.core.version, i.core.buffer.digest()) == (41, c.book.digest())
     assert c.counts["wholes"] == 0
-    told = mail.read(scene.sent[-1][2], KEY)[1] if mail.read(scene.sent[-1][2], KEY)[0] == "rollout.mend" else None
-    told = told or next(f for _, _, d in scene.sent for m, f in [mail.read(d, KEY)] if m == "rollout.mend")
+    told = (
+        watch_channel.read(scene.sent[-1][2], KEY)[1]
+        if watch_channel.read(scene.sent[-1][2], KEY)[0] == "rollout.mend"
+        else None
+    )
+    told = told or next(f for _, _, d in scene.sent for m, f in [watch_channel.read(d, KEY)] if m == "rollout.mend")
     assert sum(held is not None for _, held in told["rows"]) == 4
 
 
@@ -92,7 +95,7 @@
     i = scene.ingress(kept=kept)
     scene.run(1_000)
     assert c.book.dropped(1) is None
-    assert (i.core.version, i.core.ahead.digest()) == (21, c.book.digest())
+    assert (i.core.version, i.core.buffer.digest()) == (21, c.book.digest())
     assert (c.counts["wholes"], i.core.book.count) == (0, 280)
 
 
@@ -115,7 +118,7 @@
     kept.book.put([(b.packed(("partner", "p7")), b.entry(1, b"altered"))], 1)
     i = scene.ingress(kept=kept)
     scene.run(2_000)
-    assert i.core.ahead.digest() == i.core.book.digest() == c.book.digest()
+    assert i.core.buffer.digest() == i.core.book.digest() == c.book.digest()
     assert i.core.book.get(("partner", "p7")) == data(7)
     assert c.counts["wholes"] == 0
 
@@ -139,10 +142,10 @@
     scene.ingress()
     scene.run(1_000)
     i = scene.ingresses[0]
-    assert i.core.version == 0 and i.core.mend is not None
+    assert i.core.version == 0 and i.core.repair_delta is not None
     scene.commit(("p1", b"new"))
     scene.run(150_000)
-    assert (i.core.version, i.core.ahead.digest()) == (5, c.book.digest())
+    assert (i.core.version, i.core.buffer.digest()) == (5, c.book.digest())
     assert c.counts["wholes"] == 1
     assert methods(scene).count("rollout.mend") > 5
 
@@ -249,11 +252,13 @@
     filled(scene, 3)
     fields = {"who": "x", "version": 0, "digest": b"", "acts": 0, "repair": False}
     c.opened(scene.now, 1)
-    c.received(scene.now, 1, mail.write("rollout.watch", {**fields, "nonce": c.sessions[1].nonce + 1}, KEY))
+    c.received(scene.now, 1, watch_channel.write("rollout.watch", {**fields, "nonce": c.sessions[1].nonce + 1}, KEY))
     c.opened(scene.now, 2)
-    c.received(scene.now, 2, mail.write("rollout.watch", {**fields, "nonce": c.sessions[2].nonce}, b"guessed"))
+    c.received(
+        scene.now, 2, watch_channel.write("rollout.watch", {**fields, "nonce": c.sessions[2].nonce}, b"guessed")
+    )
     c.opened(scene.now, 3)
-    c.received(scene.now, 3, mail.write("rollout.acts", {"version": 1, "why": ""}, KEY))
+    c.received(scene.now, 3, watch_channel.write("rollout.acts", {"version": 1, "why": ""}, KEY))
     assert (c.sessions, c.counts["bad_messages"], c.standing.known) == ({}, 3, {})
 
 
--- a/tests/rollout/test_watching_links.py
+++ b/tests/rollout/test_watch_connections.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from rushweir.rollout import watching_links
+from rushweir.rollout import watch_connections
 from rushweir.rollout.kept import Kept
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_links import Connect, preference
+from rushweir.rollout.watch_connections import Connect, preference
+from rushweir.rollout.watcher import Watcher
 from tests.rollout.conftest import KEY, Scene, whom
 
 THREE = ("c", "d", "e")
@@ -47,7 +47,7 @@
 
 def test_without_jitter_they_come_at_once(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
     """The assertion above is able to fail."""
-    monkeypatch.setattr(watching_links, "PAUSE_MS", (0.0, 0.0))
+    monkeypatch.setattr(watch_connections, "PAUSE_MS", (0.0, 0.0))
     three(scene)
     ingresses = [scene.ingress(f"i{k}", THREE) for k in range(60)]
     scene.run(2_000)
@@ -77,7 +77,7 @@
         scene.settle()
         assert i.core.version == old.book.version
     assert whom(i) == first
-    assert i.core.links.trial is None and len(i.wire) == 1
+    assert i.core.connections.trial is None and len(i.wire) == 1
 
 
 def test_a_first_choice_that_stays_away_is_tried_less_often(scene: Scene) -> None:
@@ -86,9 +86,9 @@
     scene.run(2_000)
     scene.kill(whom(i))
     scene.run(5_000)
-    before = i.core.links.serial
+    before = i.core.connections.serial
     scene.run(3_600_000)
-    assert 4 < i.core.links.serial - before < 20
+    assert 4 < i.core.connections.serial - before < 20
 
 
 def test_it_leaves_one_whom_no_majority_hears(scene: Scene) -> None:
@@ -129,9 +129,9 @@
 
 
 def test_a_dial_that_comes_to_nothing_is_given_up() -> None:
-    w = Watching(0.0, "a", ("c", "d"), Kept(), KEY)
+    w = Watcher(0.0, "a", ("c", "d"), Kept(), KEY)
     for _ in range(40):
         w.advance(w.next_at())
-    dialed = [o.address for o in w.orders if isinstance(o, Connect)]
+    dialed = [o.address for o in w.commands if isinstance(o, Connect)]
     assert len(dialed) > 8 and dialed[::2] != dialed[1::2] and set(dialed) == {"c", "d"}
     assert w.now > 1_500 * (len(dialed) - 1)
--- a/tests/rollout/test_watching.py
+++ b/tests/rollout/test_watcher.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept, Rewrite
 from rushweir.rollout.sending_records import Send as Sent
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_commands import Apply, Keep
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply, Persist
 from tests.rollout.conftest import KEY, Ingress, Scene, whom
 
 
@@ -86,7 +86,7 @@
     scene.changed = lambda data: data.replace(b'"body":"', b'"body":"x')
     for _ in range(6):
         scene.run(2_000)
-    assert i.core.links.lost_main >= 1
+    assert i.core.connections.primary_losses >= 1
     scene.changed, scene.down = None, real
     scene.run(10_000)
     assert whom(i) != "" and first in ("c", "d")
@@ -95,10 +95,10 @@
 def test_a_step_whose_digest_does_not_fit_is_not_taken(scene: Scene) -> None:
     i = opened(scene)
     step = ChangeSet(1, (Change(("partner", "a"), b"1"),))
-    i.core.received(scene.now, 1, mail.write("rollout.step", {"step": pack(step), "digest": b"x" * 16}, KEY))
+    i.core.received(scene.now, 1, watch_channel.write("rollout.step", {"step": pack(step), "digest": b"x" * 16}, KEY))
     i.carry_out()
-    assert (i.core.version, i.core.ahead.version, i.core.counts["digest_wrong"]) == (0, 0, 1)
-    assert (i.core.ahead.rows, i.core.repairing) == ({}, True)
+    assert (i.core.version, i.core.buffer.version, i.core.counts["digest_wrong"]) == (0, 0, 1)
+    assert (i.core.buffer.rows, i.core.repairing) == ({}, True)
 
 
 PIECE = {"base": 0, "version": 1, "piece": 0, "more": True, "digest": b""}
@@ -118,8 +118,8 @@
 )
 def test_sealed_messages_that_are_none_change_nothing(scene: Scene, method: str, fields: dict) -> None:
     i = opened(scene)
-    i.core.received(scene.now, 1, mail.write(method, fields, KEY))
-    assert (i.core.counts["bad_messages"], i.core.ahead.version, i.core.mend) == (1, 0, None)
+    i.core.received(scene.now, 1, watch_channel.write(method, fields, KEY))
+    assert (i.core.counts["bad_messages"], i.core.buffer.version, i.core.repair_delta) == (1, 0, None)
 
 
 def test_pieces_cut_off_in_the_middle_change_nothing_and_come_anew(scene: Scene) -> None:
@@ -138,9 +138,9 @@
     scene.changed = cut
     i = scene.ingress()
     scene.run(1)
-    assert (i.core.version, i.core.mend, seen) == (0, None, 3)
+    assert (i.core.version, i.core.repair_delta, seen) == (0, None, 3)
     scene.run(3_000)
-    assert (i.core.version, i.core.ahead.digest()) == (1, c.book.digest())
+    assert (i.core.version, i.core.buffer.digest()) == (1, c.book.digest())
 
 
 # --- the one who applies, and the disk ------------------------------------------------------------
@@ -185,7 +185,7 @@
     scene.run(2_500)
     assert (c.rows()[0]["acts"], c.rows()[0]["refused"]) == (0, 2)  # it says what it acts on once that is kept
     (keep,) = i.slow
-    i.core.kept(scene.now, keep.version)
+    i.core.persisted(scene.now, keep.version)
     scene.run(10_000)
     row = c.rows()[0]
     assert (row["acts"], row["refused"], row["why"]) == (1, 2, "partner b: rate: too large here")
@@ -217,7 +217,7 @@
     scene.commit(("a", b"2"), ("b", b"1"))
     scene.commit(("b", None))
     scene.settle()
-    assert (i.core.version, i.core.ahead.version) == (0, 3)
+    assert (i.core.version, i.core.buffer.version) == (0, 3)
     i.hold = False
     i.core.applied(scene.now, 1)
     assert i.core.book.get(("partner", "a")) == b"1"
@@ -227,27 +227,27 @@
 
 def test_it_says_that_it_acts_only_when_that_is_on_disk(scene: Scene) -> None:
     c = scene.control("c")
-    w = Watching(scene.now, "a", ("c",), Kept(), KEY)
+    w = Watcher(scene.now, "a", ("c",), Kept(), KEY)
     w.advance(scene.now)
     w.opened(scene.now, 1)
     c.opened(scene.now, 1)
 
-    def exchange() -> list[Apply | Keep]:
+    def exchange() -> list[Apply | Persist]:
         found = []
-        while w.orders or c.orders:
+        while w.commands or c.orders:
             while c.orders:
                 down = c.orders.popleft()
                 if isinstance(down, Sent):
                     w.received(scene.now, 1, down.data)
-            while w.orders:
-                order = w.orders.popleft()
-                if isinstance(order, Apply | Keep):
+            while w.commands:
+                order = w.commands.popleft()
+                if isinstance(order, Apply | Persist):
                     found.append(order)
                 elif hasattr(order, "data"):
                     c.received(scene.now, 1, order.data)
         return found
 
-    def wait(ms: int) -> list[Apply | Keep]:
+    def wait(ms: int) -> list[Apply | Persist]:
         found = []
         for _ in range(0, ms, 500):
             scene.now += 500
@@ -263,14 +263,14 @@
     assert isinstance(apply, Apply)
     w.applied(scene.now, 1)
     (keep,) = exchange()
-    assert isinstance(keep, Keep) and isinstance(keep.what, Rewrite)
+    assert isinstance(keep, Persist) and isinstance(keep.operation, Rewrite)
     assert (w.version, c.standing.known["a"].acts) == (1, 0)
-    w.keep_failed(scene.now, "no space")
+    w.persist_failed(scene.now, "no space")
     assert wait(3_000) == []
     assert c.rows()[0]["why"] == "can't keep its settings: no space"
     (keep,) = wait(10_000)
-    assert isinstance(keep, Keep) and isinstance(keep.what, Rewrite) and keep.version == 1
-    w.kept(scene.now, 1)
+    assert isinstance(keep, Persist) and isinstance(keep.operation, Rewrite) and keep.version == 1
+    w.persisted(scene.now, 1)
     wait(500)
     assert (c.standing.known["a"].acts, c.rows()[0]["why"]) == (1, "")
 
@@ -343,12 +343,12 @@
     assert len(pieces) > 4
     for data in (pieces[0], pieces[1], pieces[1], pieces[0]):
         i.core.received(scene.now, 1, data)
-    assert i.core.pieces == 1  # the first one begins anew
+    assert i.core.chunks_received == 1  # the first one begins anew
     for data in [pieces[1], pieces[1], *pieces[2:]]:
         i.core.received(scene.now, 1, data)
-    assert i.core.ahead.digest() == c.book.digest()
+    assert i.core.buffer.digest() == c.book.digest()
     late = scene.ingress("late")
     scene.run(1)
     late.core.received(scene.now, 1, pieces[0])
     late.core.received(scene.now, 1, pieces[2])
-    assert (late.core.mend, late.core.ahead.version) == (None, 0)
+    assert (late.core.repair_delta, late.core.buffer.version) == (None, 0)
--- a/tests/rollout/test_weighing.py
+++ b/tests/rollout/test_weighing.py
@@ -14,15 +14,15 @@
 
 from rushweir.daemon.beside import GIVING_WAY_S, SWITCH_S, beside, giving_way
 from rushweir.rollout import packed as p
-from rushweir.rollout import watch_mail as mail
-from rushweir.rollout import watching_ahead as ahead_module
+from rushweir.rollout import reorder_buffer as ahead_module
+from rushweir.rollout import watch_channel
 from rushweir.rollout.book import Book, entry, packed
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.kept import Kept
 from rushweir.rollout.packed import PackedBook
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_ahead import Ahead
-from rushweir.rollout.watching_commands import Apply
+from rushweir.rollout.reorder_buffer import ReorderBuffer
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply
 from rushweir.rollout.weighing import LARGE, Weighing
 from tests.rollout.conftest import KEY, Scene
 
@@ -40,7 +40,7 @@
     before, p.LOOSE = p.LOOSE, 0
     try:
         truth, book = Book(), PackedBook()
-        ahead = Ahead(book)
+        ahead = ReorderBuffer(book)
 
         def act(what: str) -> None:
             if what == "freeze" and ahead.applying is None and ahead.rows:
@@ -64,9 +64,9 @@
             step = ChangeSet(number, tuple(changes))
             view = ahead.view()
             act(then)
-            delta = view.weigh(step)
+            delta = view.prepare_delta(step)
             truth.take(step)
-            assert ahead.step(step, truth.digest(), delta)
+            assert ahead.take_change_set(step, truth.digest(), delta)
             assert (ahead.digest(), ahead.digests()) == (truth.digest(), truth.digests())
             assert (ahead.count, ahead.size) == (truth.count, truth.size)
             act(after)
@@ -75,7 +75,7 @@
 
 
 def step_mail(step: ChangeSet, digest: bytes) -> bytes:
-    return mail.write("rollout.step", {"step": pack(step), "digest": digest}, KEY)
+    return watch_channel.write("rollout.step", {"step": pack(step), "digest": digest}, KEY)
 
 
 def large(number: int, count: int = 400) -> ChangeSet:
@@ -83,7 +83,7 @@
     return ChangeSet(number, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
 
 
-def watching() -> tuple[Watching, int, Book]:
+def watching() -> tuple[Watcher, int, Book]:
     """Connected, with version 1 that it acts on; and a book as the control process has it."""
     s = Scene()
     c = s.control("c")
@@ -91,8 +91,8 @@
     i = s.ingress()
     s.run(1_000)
     assert i.core.version == 1
-    assert i.core.links.main is not None
-    return i.core, i.core.links.main.conn, c.book.copy()
+    assert i.core.connections.primary is not None
+    return i.core, i.core.connections.primary.conn, c.book.copy()
 
 
 def test_a_large_message_may_be_weighed_before_and_a_small_one_is_not() -> None:
@@ -100,13 +100,13 @@
     step = large(2)
     book.take(step)
     text = step_mail(step, book.digest())
-    assert core.weighing(b"x" * LARGE) is None
-    work = core.weighing(text)
+    assert core.prepare_large_message(b"x" * LARGE) is None
+    work = core.prepare_large_message(text)
     assert work is not None
     work.run()
     core.received(core.now, conn, text, work)
-    assert core.ahead.digest() == book.digest()
-    (order,) = [o for o in core.orders if isinstance(o, Apply)]
+    assert core.buffer.digest() == book.digest()
+    (order,) = [o for o in core.commands if isinstance(o, Apply)]
     assert sorted(order.changes, key=lambda c: c.key) == sorted(step.changes, key=lambda c: c.key)
 
 
@@ -114,15 +114,17 @@
     core, conn, book = watching()
     first, second = large(2), large(3)
     weighed: list[int] = []
-    real = ahead_module.Ahead.weigh
+    real = ahead_module.ReorderBuffer.prepare_delta
     monkeypatch.setattr(
-        ahead_module.Ahead, "weigh", lambda ahead, step: (weighed.append(step.version), real(ahead, step))[1]
+        ahead_module.ReorderBuffer,
+        "prepare_delta",
+        lambda ahead, step: (weighed.append(step.version), real(ahead, step))[1],
     )
     texts = []
     for step in (first, second):
         book.take(step)
         texts.append(step_mail(step, book.digest()))
-    one, two = core.weighing(texts[0]), core.weighing(texts[1])  # both beside version 1
+    one, two = core.prepare_large_message(texts[0]), core.prepare_large_message(texts[1])  # both beside version 1
     assert one is not None
     assert two is not None
     one.run()
@@ -132,8 +134,8 @@
     assert weighed == [2]
     core.received(core.now, conn, texts[1], two)
     assert weighed == [2, 3]
-    assert core.ahead.digest() == book.digest()
-    stale = Weighing(texts[1], KEY, core.ahead.view())
+    assert core.buffer.digest() == book.digest()
+    stale = Weighing(texts[1], KEY, core.buffer.view())
     stale.run()
     core.received(core.now, conn, texts[1], stale)
     assert core.counts["known"] == 1
@@ -143,14 +145,14 @@
     truth, book = Book(), PackedBook()
     truth.put([(packed(("plan", "a")), entry(1, b"right"))], 1)
     book.put([(packed(("plan", "a")), entry(1, b"altered"))], 1)
-    ahead = Ahead(book)
+    ahead = ReorderBuffer(book)
     step = ChangeSet(2, (Change(("plan", "a"), b"new"),))
-    delta = ahead.view().weigh(step)
+    delta = ahead.view().prepare_delta(step)
     mend = ahead_module.Delta(ahead)
     mend.add(packed(("plan", "a")), entry(1, b"right"))
-    assert ahead.take(mend, 1, truth.digest())
+    assert ahead.take_delta(mend, 1, truth.digest())
     truth.take(step)
-    assert ahead.step(step, truth.digest(), delta)
+    assert ahead.take_change_set(step, truth.digest(), delta)
 
 
 def test_a_large_message_that_is_altered_or_no_step_is_refused_as_a_small_one_is() -> None:
@@ -161,20 +163,20 @@
     noise = b"".join(sha256(b"%d" % n).digest() for n in range(900))
     bad = [
         good[:200] + bytes([good[200] ^ 1]) + good[201:],
-        mail.write("rollout.step", {"step": noise, "digest": b"x" * 16}, KEY),
-        mail.write("rollout.step", {"digest": b"x" * 16, "more": noise}, KEY),
+        watch_channel.write("rollout.step", {"step": noise, "digest": b"x" * 16}, KEY),
+        watch_channel.write("rollout.step", {"digest": b"x" * 16, "more": noise}, KEY),
     ]
     for n, text in enumerate(bad, 1):
-        work = core.weighing(text)
+        work = core.prepare_large_message(text)
         assert work is not None
         work.run()
         core.received(core.now, conn, text, work)
-        assert (core.counts["bad_messages"], core.ahead.version) == (n, 1)
-    work = core.weighing(good)
+        assert (core.counts["bad_messages"], core.buffer.version) == (n, 1)
+    work = core.prepare_large_message(good)
     assert work is not None
     work.run()
     core.received(core.now, conn, good, work)
-    assert core.ahead.version == 2
+    assert core.buffer.version == 2
 
 
 def test_a_step_is_weighed_with_one_look_into_each_part(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -185,17 +187,17 @@
     looks: list[int] = []
     real = p.decompress
     monkeypatch.setattr(p, "decompress", lambda piece: (looks.append(1), real(piece))[1])
-    ahead = Ahead(kept.book)
+    ahead = ReorderBuffer(kept.book)
     step = large(2, 4_000)
-    delta = ahead.weigh(step)
+    delta = ahead.prepare_delta(step)
     assert len(looks) <= 256
-    ahead.take(delta, 2, b"")  # another digest: nothing is taken
+    ahead.take_delta(delta, 2, b"")  # another digest: nothing is taken
     assert ahead.version == 1
     right = Book()
     right.put([row for part in kept.book.parts for row in part.items()], 1)
     right.take(step)
     looks.clear()
-    assert ahead.step(step, right.digest(), delta)
+    assert ahead.take_change_set(step, right.digest(), delta)
     frozen = ahead.freeze()
     assert frozen.changes
     assert len(looks) <= 256
