--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -58,12 +58,12 @@
 
 
 class Sessions(Protocol):
-    """Those that watch: what the control process tells it, and asks of it by ``orders``: each has ``conn`` and
-    ``data`` (send), ``conn`` and ``why`` (close), or ``told`` (for the other control processes)."""
+    """Those that watch: what the control process tells it, and asks of it by ``commands``: each has ``conn`` and
+    ``data`` (send), ``conn`` and ``why`` (close), or ``report`` (for the other control processes)."""
 
-    orders: deque[Any]
+    commands: deque[Any]
 
-    def jumped(self, now: float, number: int, objects: Objects) -> None: ...
+    def snapshot_installed(self, now: float, number: int, objects: Objects) -> None: ...
 
     def committed(self, now: float, step: ChangeSet) -> None: ...
 
@@ -133,8 +133,8 @@
         url = f"ws://[{host}]:{port}/control" if ":" in host else f"ws://{host}:{port}/control"
         self.link = Upstream(
             self, url, {}, seed=secrets.randbits(32), new_conn=dials.new_conn,
-            at=lambda when, what, argument: dials.at(when, what, argument, self.link), pause_ms=PAUSE_MS,
-            connect_ms=CONNECT_MS, ping_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
+            at=lambda when, what, argument: dials.at(when, what, argument, self.link), retry_delay_ms=PAUSE_MS,
+            connect_timeout_ms=CONNECT_MS, ping_interval_ms=PING_MS, max_message=MAX_MESSAGE_BYTES,
         )  # fmt: skip
         self.link.start(process.clock())
         dials.carry(self.link)
@@ -356,7 +356,7 @@
                 if self.sessions is not None:
                     self.sessions.committed(self.clock(), order.change_set)
             case SnapshotInstalled() if self.sessions is not None:
-                self.sessions.jumped(self.clock(), order.version, order.objects)
+                self.sessions.snapshot_installed(self.clock(), order.version, order.objects)
 
     def kept(self, serial: int) -> None:
         self.core.persisted(self.clock(), serial)
@@ -395,12 +395,12 @@
             self.carry_out()
 
     def _carry_sessions(self) -> None:
-        orders = self.sessions.orders if self.sessions is not None else ()
+        orders = self.sessions.commands if self.sessions is not None else ()
         while orders:
             order = orders.popleft()
-            if hasattr(order, "told"):
+            if hasattr(order, "report"):
                 for line in self.lines.values():
-                    line.send(["report", order.told])
+                    line.send(["report", order.report])
             elif (wire := self.watchers.get(order.conn)) is not None:
                 if hasattr(order, "data"):
                     wire.send(order.data)
--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -32,12 +32,12 @@
 from rushweir.link.websocket import Messages, client_protocol
 from rushweir.rollout.ceilings import UNKNOWN_CUSTOMERS, IntermediateVersions
 from rushweir.rollout.change_sets import Change
-from rushweir.rollout.kept import Kept, Rewrite
+from rushweir.rollout.large_messages import LargeMessage
+from rushweir.rollout.stored_settings import Rewrite, StoredSettings
 from rushweir.rollout.watch_channel import MAX_MESSAGE_BYTES
 from rushweir.rollout.watch_connections import Connect, Disconnect
 from rushweir.rollout.watcher import Watcher
 from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Send
-from rushweir.rollout.weighing import Weighing
 
 MOST_UNSENT = 1_048_576  # bytes that wait in a connection; it says little, so more is a connection that is stuck
 
@@ -69,7 +69,7 @@
         if self.open:
             texts = self.messages.receive(data)
         else:
-            self.open = bool(opened := self.messages.shake(data))
+            self.open = bool(opened := self.messages.receive_handshake(data))
             if opened is False and self.transport is not None:
                 self.transport.abort()
             if not self.open:
@@ -92,9 +92,9 @@
         self.flush()
         r.carry_out()
 
-    async def _weigh(self, text: bytes | str, work: Weighing) -> None:
+    async def _weigh(self, text: bytes | str, work: LargeMessage) -> None:
         """A large message is read beside the loop; those behind it wait."""
-        await beside(work.run)
+        await beside(work.prepare)
         r, self.weighs = self.rollouts, False
         if r.wires.get(self.conn) is self:
             r.core.received(r.clock(), self.conn, text, work)
@@ -157,7 +157,7 @@
         self.received_bytes = self.settled = 0
         self.broken = self.stopped = False
 
-    def _watching(self, kept: Kept) -> Watcher:
+    def _watching(self, kept: StoredSettings) -> Watcher:
         name, addresses, key = self.given
         return Watcher(self.clock(), name, addresses, kept, key, secrets.randbits(63))
 
@@ -170,7 +170,7 @@
                 config = live.assemble(self.path, Objects(book), book.version, self.between)
             except (Refused, ValueError, TypeError) as problem:
                 self.log.event("error", "kept_settings_refused", version=book.version, why=str(problem)[:300])
-                self.core = self._watching(Kept())
+                self.core = self._watching(StoredSettings())
             else:
                 self.log.event("info", "settings_kept", version=book.version, objects=book.count)
                 self.carry_out()
--- a/rushweir/edge/service.py
+++ b/rushweir/edge/service.py
@@ -18,7 +18,7 @@
 from rushweir.ingress import commands
 from rushweir.ingress.core import Core
 from rushweir.ingress.shell import Clock, Shell, calm_collector
-from rushweir.logs.decisions import Limiter
+from rushweir.logs.limiter import Limiter
 from rushweir.policy import Policy
 
 LOG_LINES_PER_S, LOG_BURST_LINES = 2.0, 20  # limits for each cause
@@ -38,7 +38,7 @@
     def emit(self, event: commands.LogEvent) -> None:
         """Writes an event unless its cause is over the limit; the next line of the cause has the number left out."""
         now = self.clock()
-        allowed, left_out = self.limiter.may(now, event.cause)
+        allowed, left_out = self.limiter.allow(now, event.cause)
         if allowed:
             line = {"at": round(now), "level": event.level, "cause": event.cause, **event.fields}
             if left_out:
@@ -74,7 +74,7 @@
         await shell.serve(*config.listen, config.peer_listen, listening=listening)
         calm_collector()
         core.log(self.clock(), "info", "started", name=config.name, listen=config.listen, sockets=config.sockets,
-                  memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
+                 memory_mb=config.memory_mb, cores=config.cores, backends=len(core.nodes.effective))  # fmt: skip
         shell.carry_out()
         if os.environ.get("EDGE_TRACE"):
             self.trace(Trace(core))
--- a/rushweir/edge/setup.py
+++ b/rushweir/edge/setup.py
@@ -67,7 +67,7 @@
     def _peers(self) -> Peers | None:
         return Peers(self.settings.gateway, list(self.peers)) if self.settings.sharing.peers and self.peers else None
 
-    def adopt(self, core: base.Core) -> None:
+    def apply_to(self, core: base.Core) -> None:
         """Applies this setup to a running ingress, and reconnects to discovery."""
         core.components.shared.adopt(self.settings)
         core.components.shared.crowded_above = self.crowded_above
--- a/rushweir/lab/sim/rollout_plants.py
+++ b/rushweir/lab/sim/rollout_plants.py
@@ -15,27 +15,27 @@
 from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import ChangeSet, pack, unpack
 from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer
-from rushweir.rollout.sending import Sending
+from rushweir.rollout.watch_sessions import WatchSessions
 from rushweir.rollout.watcher import Watcher
 
 KINDS = ("bulky", "hasty", "unjittered", "forgotten", "unchecked", "early", "alone")
 
 
-class Bulky(Sending):
-    def _step(self, step: ChangeSet, digest: bytes) -> bytes:
-        objects = [row for part in self.book.parts for row in part.items()]
+class Bulky(WatchSessions):
+    def _change_set_message(self, step: ChangeSet, digest: bytes) -> bytes:
+        objects = [row for part in self.store.buckets for row in part.items()]
         return watch_channel.write(
             "rollout.step", {"step": pack(step), "digest": digest, "objects": objects}, self.key
         )
 
 
-class Forgotten(Sending):
+class Forgotten(WatchSessions):
     def committed(self, now: float, step: ChangeSet) -> None:
         super().committed(now, step)
-        self.book.gone.clear()
+        self.store.tombstones.clear()
 
 
-class Alone(Sending):
+class Alone(WatchSessions):
     def take_report(self, now: float, told: Any) -> None:
         pass
 
@@ -91,7 +91,7 @@
     """For a day."""
 
     def into(world: Any) -> None:
-        world.sending = SENDING.get(kind, Sending)
+        world.sending = SENDING.get(kind, WatchSessions)
         world.watching = WATCHING.get(kind, Watcher)
 
     return into
--- a/rushweir/rollout/watcher.py
+++ b/rushweir/rollout/watcher.py
@@ -28,13 +28,13 @@
 from typing import Any
 
 from rushweir.rollout import watch_channel
-from rushweir.rollout.book import DIGEST, BookError, sound
 from rushweir.rollout.change_sets import ChangeSetError, Key
-from rushweir.rollout.kept import Kept
+from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage, decode_change_set
+from rushweir.rollout.object_store import DIGEST_BYTES, ObjectStoreError, validate_row
 from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer, of_marks
+from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watch_connections import Connect, Disconnect, WatchConnections
 from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Refusal, Send
-from rushweir.rollout.weighing import LARGE, Weighing, step_of
 
 ACTS_MS = (200.0, 2_000.0)  # between two words on what it acts on: with something new, and as a sign of life
 RETRY_MS = (200.0, 3_200.0)  # before it asks again: at first, and at most
@@ -46,12 +46,12 @@
 
 class Watcher:
     def __init__(
-        self, now: float, name: str, controls: tuple[str, ...], kept: Kept, key: bytes = b"", seed: int = 0
+        self, now: float, name: str, controls: tuple[str, ...], kept: StoredSettings, key: bytes = b"", seed: int = 0
     ) -> None:
         """Acts on what was kept from the start, if anything was."""
         self.now, self.name, self.key, self.rng = now, name, key, random.Random(seed)
         self.commands: deque[Connect | Disconnect | Send | Apply | Persist | LogEvent] = deque()
-        self.stored_state, self.book = kept, kept.book
+        self.stored_state, self.book = kept, kept.store
         self.buffer = ReorderBuffer(self.book)
         self.connections = WatchConnections(self, name, controls, now, self.rng)
         self.on_disk = self.book.version
@@ -61,7 +61,7 @@
         self.repair_delta: Delta | None = None
         self.chunks_received = 0  # of it that came
         self.repairing = False
-        self.weighed: Weighing | None = None  # of the message that is being received
+        self.weighed: LargeMessage | None = None  # of the message that is being received
         self.bad = 0
         self.retry = RETRY_MS[0]
         self.ask_at = self.keep_at = self.fold_at = float("inf")
@@ -98,12 +98,12 @@
             self.ask_at = float("inf")
         self.connections.lost(now, conn)
 
-    def prepare_large_message(self, text: bytes | str) -> Weighing | None:
+    def prepare_large_message(self, text: bytes | str) -> LargeMessage | None:
         """What may be done beside the loop before a large message is ``received``; None: it is none. Messages behind
         it on its connection have to wait."""
-        return Weighing(text, self.key, self.buffer.view()) if len(text) > LARGE else None
+        return LargeMessage(text, self.key, self.buffer.view()) if len(text) > LARGE_MESSAGE_CHARS else None
 
-    def received(self, now: float, conn: int, text: bytes | str, weighed: Weighing | None = None) -> None:
+    def received(self, now: float, conn: int, text: bytes | str, weighed: LargeMessage | None = None) -> None:
         """``weighed``: what was done with it before."""
         self.now, self.weighed = now, weighed
         link = self.connections.link(conn)
@@ -123,7 +123,7 @@
             elif method == "rollout.ask":
                 self._send("rollout.parts", self._state() | {"digests": self.buffer.digests()})
             self.bad = 0
-        except (watch_channel.MessageError, ChangeSetError, BookError) as problem:
+        except (watch_channel.MessageError, ChangeSetError, ObjectStoreError) as problem:
             self._bad(conn, str(problem))
 
     def applied(self, now: float, version: int) -> None:
@@ -160,7 +160,7 @@
         if not self.disk_why:
             self.commands.append(LogEvent("error", "settings_not_kept", {"why": why[: watch_channel.MAX_TEXT_CHARS]}))
         self.disk_why = why[: watch_channel.MAX_TEXT_CHARS]
-        self.stored_state.failed()
+        self.stored_state.write_failed()
         self.keep_at = now + KEEP_MS
         self._say()
 
@@ -177,11 +177,11 @@
         self.connections.advance(now)
         if now >= self.keep_at:
             self.keep_at = float("inf")
-            self.commands.append(Persist(self.stored_state.whole(), self.version))
+            self.commands.append(Persist(self.stored_state.rewrite(), self.version))
         if now >= self.fold_at:
             self.fold_at = float("inf")
             # Not while a change is applied: whoever does that may look into the book from beside the loop.
-            if self.buffer.applying is None and self.book.fold():
+            if self.buffer.applying is None and self.book.compact():
                 self.fold_at = now + FOLD_MS
         if not self._watching():
             return
@@ -207,8 +207,8 @@
 
     def _receive_change_set(self, fields: dict[str, Any]) -> None:
         weighed, self.weighed = self.weighed, None
-        step, delta = (step_of(fields), None) if weighed is None else (weighed.step_read(), weighed.delta)
-        digest = watch_channel.bytes_field(fields, "digest", DIGEST)
+        step, delta = (decode_change_set(fields), None) if weighed is None else (weighed.decoded(), weighed.delta)
+        digest = watch_channel.bytes_field(fields, "digest", DIGEST_BYTES)
         if step.version <= self.buffer.version:
             self.counts["known"] += 1
         elif step.version > self.buffer.version + 1:
@@ -221,7 +221,7 @@
 
     def _mend(self, fields: dict[str, Any]) -> None:
         base, version = watch_channel.int_field(fields, "base"), watch_channel.int_field(fields, "version")
-        rows, digest = fields.get("rows"), watch_channel.bytes_field(fields, "digest", DIGEST)
+        rows, digest = fields.get("rows"), watch_channel.bytes_field(fields, "digest", DIGEST_BYTES)
         if not isinstance(rows, list):
             raise watch_channel.MessageError("rows: an array")
         piece = watch_channel.int_field(fields, "piece")
@@ -239,13 +239,13 @@
         try:
             for row in rows:
                 text, held = row
-                sound(text, held)
+                validate_row(text, held)
                 delta.add(text, held)
             for part, marks in of_marks(fields.get("marks")):
                 delta.leave(part, marks)
         except (TypeError, ValueError) as problem:
             self._forget_pieces()
-            raise BookError(f"what differs: {problem}") from None
+            raise ObjectStoreError(f"what differs: {problem}") from None
         if fields.get("more") is True:
             return
         self._forget_pieces()
@@ -342,7 +342,7 @@
         self.commands.append(Send(self.connections.primary.conn, watch_channel.write(method, fields, self.key)))
 
     def _crowded(self) -> None:
-        if self.book.crowded:
+        if self.book.needs_compaction:
             self.fold_at = min(self.fold_at, self.now + FOLD_MS)
 
     def _apply(self) -> None:
--- a/rushweir/rollout/watcher_commands.py
+++ b/rushweir/rollout/watcher_commands.py
@@ -8,8 +8,8 @@
 
 from rushweir.rollout import watch_channel
 from rushweir.rollout.change_sets import Change, Key
-from rushweir.rollout.kept import Append, Rewrite
 from rushweir.rollout.reorder_buffer import FrozenLayer
+from rushweir.rollout.stored_settings import Append, Rewrite
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/edge/test_clients.py
+++ b/tests/edge/test_clients.py
@@ -1,4 +1,4 @@
-"""The platform's clients, usual and bad, against a whole ingress without sockets."""
+"""Tests of valid and invalid clients of the platform, with an ingress without sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from rushweir.edge.backends import COOLDOWN_MS
 from rushweir.edge.front import Shared
-from rushweir.ingress import commands as c
+from rushweir.ingress import commands
 from tests.edge.conftest import SETTINGS, Edge, answer, booking, request
 
 
@@ -25,7 +25,7 @@
     assert not edge.core.engine.ledger.entries and not edge.core.components.shared.open_request_ids
 
 
-BAD = {
+INVALID_REQUESTS = {
     "no id": request(Req_Id=None), "id with a space": request("a b"), "no class": request(cls="none"),
     "no plan": request(plan="none"), "deadline of text": request(Req_Deadline_Ms="soon"),
     "deadline nan": request(Req_Deadline_Ms="nan"), "deadline 0": request(Req_Deadline_Ms="0"),
@@ -42,10 +42,10 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
 def test_invalid_request_gets_an_error_and_the_connection_stays(edge, name):
     conn = edge.connect()
-    edge.receive(conn, BAD[name])
+    edge.receive(conn, INVALID_REQUESTS[name])
     assert 400 <= edge.statuses(conn)[0] < 429 and conn not in edge.closed
     assert not edge.core.engine.ledger.entries
     _, backend_conn = edge.send_request(conn=conn)
@@ -53,7 +53,7 @@
     assert edge.statuses(conn)[1:] == [200]
 
 
-UNREADABLE = {
+MALFORMED_REQUESTS = {
     "noise": b"\x00\x01\xff\xfe" * 8 + b"\r\n\r\n",
     "both lengths": request(Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n",
     "both, other order": booking().replace(b"Content-Length", b"Transfer-Encoding: chunked\r\nContent-Length"),
@@ -66,16 +66,16 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", UNREADABLE)
+@pytest.mark.parametrize("name", MALFORMED_REQUESTS)
 def test_malformed_request_gets_one_error_and_the_connection_ends(edge, name):
     conn = edge.connect()
-    orders = edge.receive(conn, UNREADABLE[name])
+    issued = edge.receive(conn, MALFORMED_REQUESTS[name])
     assert edge.statuses(conn)[0] in (400, 413, 414, 431) and len(edge.statuses(conn)) == 1
     assert b"Connection: close" in edge.written(conn) and conn in edge.closed
-    # Its error reaches a client that still sends: the end is of this side's writing, a cut comes only after more.
-    assert not any(isinstance(o, c.AbortConnection) for o in orders)
+    # The error reaches a client that still sends: only writing ends here, and the connection is cut after more bytes.
+    assert not any(isinstance(o, commands.AbortConnection) for o in issued)
     assert not edge.core.engine.ledger.entries
-    assert any(isinstance(o, c.AbortConnection) for _ in range(6) for o in edge.receive(conn, b"z" * 60_000))
+    assert any(isinstance(o, commands.AbortConnection) for _ in range(6) for o in edge.receive(conn, b"z" * 60_000))
 
 
 @given(st.binary(max_size=300), st.integers(0, 250))
@@ -95,11 +95,11 @@
     conn = edge.connect()
     at = 0
     for end in [*sorted(cuts), len(data)]:
-        orders = edge.receive(conn, data[at : max(at, end)]) if end > at else []
+        issued = edge.receive(conn, data[at : max(at, end)]) if end > at else []
         at = max(at, end)
-        if any(isinstance(o, c.Dial) for o in orders):
+        if any(isinstance(o, commands.Dial) for o in issued):
             break
-    backend_conn, _ = edge.complete_dial(orders)
+    backend_conn, _ = edge.complete_dial(issued)
     assert edge.written(backend_conn).endswith(b"\r\n\r\n" + b"x" * 300)
 
 
@@ -114,7 +114,7 @@
     conn, backend_conn = edge.send_request(request("one") + request("two"))
     edge.receive(backend_conn, answer(b"1"))
     edge.advance_ms(COOLDOWN_MS)  # of the connection to the backend
-    second = [o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data]
+    second = [o for o in edge.commands if isinstance(o, commands.Write) and b"Req-Id: two" in o.data]
     edge.receive(second[0].conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and edge.written(conn).endswith(b"2")
 
@@ -198,9 +198,9 @@
 
 
 def test_rejected_connections_make_room_for_new_requests():
-    """Those turned away lingered above the bound, one went for each newcomer, and so all newcomers were refused."""
+    """Rejected connections lingered above the limit, so that closing one for each new client rejected them all."""
     edge = Edge(max_clients=4)
-    for _ in range(20):  # at once: none is old enough to go
+    for _ in range(20):  # at once: none is old enough to be closed
         edge.connect()
     assert edge.core.counts["turned_away"] > 0
     edge.advance_ms(100.0)
@@ -210,7 +210,7 @@
 
 
 def test_clients_idle_after_one_request_do_not_block_new_ones():
-    """They counted as in use for 2 s, and newcomers, each with a request, were turned away into retries (r03c8f5)."""
+    """They counted as in use for 2 s, and new clients, each with a request, were rejected (incident r03c8f5)."""
     edge = Edge(max_clients=4)
     for n in range(20):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
@@ -231,7 +231,7 @@
 
 
 def test_answered_connections_close_while_too_many_are_open():
-    """Connections that had asked once were all that clients might hold: half of the tries found none (r03c8f5)."""
+    """Connections idle after one request used the whole limit, and half of the connects failed (incident r03c8f5)."""
     edge, open_now = Edge(crowded_above=3), []
     for n in range(6):
         conn, backend_conn = edge.send_request(request(f"r{n}"))
@@ -245,23 +245,23 @@
 
 
 def test_pipelined_requests_are_answered_before_a_stopping_ingress_closes(edge):
-    """The answer to the first said that the connection closes, and took the second along."""
+    """The answer to the first request closed the connection, and the second was lost."""
     conn, backend_conn = edge.send_request(request("one") + request("two"))
     edge.core.drain_clients(edge.now, edge.core.setup.settings)
     edge.turn()
     edge.receive(backend_conn, answer(b"1"))
     edge.advance_ms(COOLDOWN_MS)
-    second = next(o for o in edge.commands if isinstance(o, c.Write) and b"Req-Id: two" in o.data)
+    second = next(o for o in edge.commands if isinstance(o, commands.Write) and b"Req-Id: two" in o.data)
     edge.receive(second.conn, answer(b"2"))
     assert edge.statuses(conn) == [200, 200] and conn in edge.closed
     assert edge.written(conn).count(b"Connection: close") == 1
 
 
 def test_reload_with_other_peers_replaces_the_old_ones():
-    """Datagrams of the old ones counted under numbers that were others' by then."""
+    """Datagrams of former peers were attributed to others that had their numbers by then."""
     a, b, new = ("10.0.0.1", 7946), ("10.0.0.2", 7946), ("10.0.0.9", 7946)
     sharing = replace(SETTINGS, gateways=2, sharing=replace(SETTINGS.sharing, peers=True))
     edge = Edge(sharing, peers=(a, b))
     edge.core.reload(edge.now, replace(edge.core.setup, peers=(a, new)))
-    assert c.SetPeerAddresses({0: a, 1: new}) in edge.turn()
+    assert commands.SetPeerAddresses({0: a, 1: new}) in edge.turn()
     assert edge.core.peers.unpack(0.0, b"x", b) is None and edge.core.peers.unpack(0.0, b"x", new) == (1, "x")
