--- a/rushweir/daemon/rollouts.py
+++ b/rushweir/daemon/rollouts.py
@@ -163,7 +163,7 @@
 
     async def begin(self) -> Config:
         """The settings to start with: kept ones at once, else the first that come. Raises ConfigError."""
-        book = self.core.book
+        book = self.core.store
         if book.version:
             try:
                 self.between = self.files.load_between()
--- a/rushweir/lab/sim/rollout_plants.py
+++ b/rushweir/lab/sim/rollout_plants.py
@@ -64,7 +64,7 @@
 class Unchecked(Watcher):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.buffer = Taken(self.book)
+        self.buffer = Taken(self.store)
 
 
 class Early(Watcher):
--- a/rushweir/rollout/watcher.py
+++ b/rushweir/rollout/watcher.py
@@ -31,7 +31,7 @@
 from rushweir.rollout.change_sets import ChangeSetError, Key
 from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage, decode_change_set
 from rushweir.rollout.object_store import DIGEST_BYTES, ObjectStoreError, validate_row
-from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer, of_marks
+from rushweir.rollout.reorder_buffer import Delta, ReorderBuffer, parse_object_digests
 from rushweir.rollout.stored_settings import StoredSettings
 from rushweir.rollout.watch_connections import Connect, Disconnect, WatchConnections
 from rushweir.rollout.watcher_commands import Apply, LogEvent, Persist, Refusal, Send
@@ -51,10 +51,10 @@
         """Acts on what was kept from the start, if anything was."""
         self.now, self.name, self.key, self.rng = now, name, key, random.Random(seed)
         self.commands: deque[Connect | Disconnect | Send | Apply | Persist | LogEvent] = deque()
-        self.stored_state, self.book = kept, kept.store
-        self.buffer = ReorderBuffer(self.book)
+        self.stored_state, self.store = kept, kept.store
+        self.buffer = ReorderBuffer(self.store)
         self.connections = WatchConnections(self, name, controls, now, self.rng)
-        self.on_disk = self.book.version
+        self.on_disk = self.store.version
         self.least = self.head = 0  # as the control processes tell
         self.refusal: Refusal | None = None  # of a version newer than the one that it acts on
         self.disk_why = ""
@@ -73,7 +73,7 @@
     @property
     def version(self) -> int:
         """What it acts on."""
-        return self.book.version
+        return self.store.version
 
     def status(self) -> dict[str, Any]:
         link = self.connections.primary
@@ -129,7 +129,7 @@
     def applied(self, now: float, version: int) -> None:
         """The changes ordered last are acted on."""
         self.now = now
-        base, rows = self.book.version, self.buffer.applied()
+        base, rows = self.store.version, self.buffer.applied()
         self.refusal = None
         for what in self.stored_state.add(base, rows):
             self.commands.append(Persist(what, version))
@@ -181,7 +181,7 @@
         if now >= self.fold_at:
             self.fold_at = float("inf")
             # Not while a change is applied: whoever does that may look into the book from beside the loop.
-            if self.buffer.applying is None and self.book.compact():
+            if self.buffer.applying is None and self.store.compact():
                 self.fold_at = now + FOLD_MS
         if not self._watching():
             return
@@ -241,8 +241,8 @@
                 text, held = row
                 validate_row(text, held)
                 delta.add(text, held)
-            for part, marks in of_marks(fields.get("marks")):
-                delta.leave(part, marks)
+            for part, marks in parse_object_digests(fields.get("marks")):
+                delta.delete_unlisted(part, marks)
         except (TypeError, ValueError) as problem:
             self._forget_pieces()
             raise ObjectStoreError(f"what differs: {problem}") from None
@@ -342,7 +342,7 @@
         self.commands.append(Send(self.connections.primary.conn, watch_channel.write(method, fields, self.key)))
 
     def _crowded(self) -> None:
-        if self.book.needs_compaction:
+        if self.store.needs_compaction:
             self.fold_at = min(self.fold_at, self.now + FOLD_MS)
 
     def _apply(self) -> None:
--- a/tests/rollout/test_ceilings_newcomer.py
+++ b/tests/rollout/test_ceilings_newcomer.py
@@ -105,7 +105,7 @@
         elif what == "anew":
             x.anew(truth, least)
         else:
-            least = max(least, min(y.buffer.book.version for y in ingresses))  # never taken back
+            least = max(least, min(y.buffer.store.version for y in ingresses))  # never taken back
             x.settled(least)
         sums.append(sum(y.part() for y in ingresses))
     return sums, ingresses
@@ -263,7 +263,7 @@
         delta = Delta(x.buffer)
         if named:
             for part in range(BUCKET_COUNT):
-                delta.leave(part, truth.object_digests(part))
+                delta.delete_unlisted(part, truth.object_digests(part))
         else:  # as tombstones tell it
             delta.add_all(truth.since(1) or ())
         assert x.buffer.take_delta(delta, 4, truth.digest())
--- a/tests/rollout/test_ceilings_skipped.py
+++ b/tests/rollout/test_ceilings_skipped.py
@@ -116,7 +116,7 @@
         elif what in ("apply", "refuse"):
             i.apply(what == "apply")
         else:
-            i.settled(min(x.buffer.book.version for x in ingresses))
+            i.settled(min(x.buffer.store.version for x in ingresses))
         sums.append(sum(x.part() for x in ingresses))
     return sums
 
--- a/tests/rollout/test_watch_sessions.py
+++ b/tests/rollout/test_watch_sessions.py
@@ -96,7 +96,7 @@
     scene.run(1_000)
     assert c.store.deleted_since(1) is None
     assert (i.core.version, i.core.buffer.digest()) == (21, c.store.digest())
-    assert (c.counts["wholes"], i.core.book.count) == (0, 280)
+    assert (c.counts["wholes"], i.core.store.count) == (0, 280)
 
 
 def test_many_steps_become_what_differs_when_that_is_less(scene: Scene) -> None:
@@ -118,8 +118,8 @@
     kept.store.put([(b.encode_key(("partner", "p7")), b.encode_object(1, b"altered"))], 1)
     i = scene.ingress(kept=kept)
     scene.run(2_000)
-    assert i.core.buffer.digest() == i.core.book.digest() == c.store.digest()
-    assert i.core.book.get(("partner", "p7")) == data(7)
+    assert i.core.buffer.digest() == i.core.store.digest() == c.store.digest()
+    assert i.core.store.get(("partner", "p7")) == data(7)
     assert c.counts["wholes"] == 0
 
 
@@ -304,7 +304,7 @@
     scene.commit(("e", b"3"), controls=("c",))
     d.snapshot_installed(scene.now, 3, {key: (version, data) for key, version, data in c.store.objects()})
     scene.run(500)
-    assert d.store.digest() == c.store.digest() == i.core.book.digest()
+    assert d.store.digest() == c.store.digest() == i.core.store.digest()
     scene.commit(("a", b"4"))
     scene.run(500)
     assert (i.core.version, d.counts["wholes"]) == (4, 1)
@@ -321,4 +321,4 @@
     after = scene.commit(("p1", b"small"))
     scene.run(2_000)
     assert (number, i.core.version, other.core.version) == (1, after, after)
-    assert i.core.book.digest() == c.store.digest()
+    assert i.core.store.digest() == c.store.digest()
--- a/tests/rollout/test_watcher.py
+++ b/tests/rollout/test_watcher.py
@@ -156,7 +156,7 @@
     scene.commit(("c", b"1"))
     scene.run(500)
     assert (i.core.version, other.core.version) == (1, 3)
-    assert i.core.book.get(("partner", "a")) == b"1"
+    assert i.core.store.get(("partner", "a")) == b"1"
     assert i.core.status()["refused"] == "partner b: rate: too large here"
     assert c.rows()[0]["why"] == "partner b: rate: too large here"
     scene.commit(("b", b"good"))
@@ -164,7 +164,7 @@
     assert i.core.version == 4
     # As a whole from its version on: all that it missed in one.
     assert i.applies[-1] == (4, [("partner", n) for n in "abc"])
-    assert (i.core.status()["refused"], i.core.book.digest()) == ("", c.store.digest())
+    assert (i.core.status()["refused"], i.core.store.digest()) == ("", c.store.digest())
 
 
 def test_what_is_refused_is_not_tried_again_until_something_changed(scene: Scene) -> None:
@@ -220,7 +220,7 @@
     assert (i.core.version, i.core.buffer.version) == (0, 3)
     i.hold = False
     i.core.applied(scene.now, 1)
-    assert i.core.book.get(("partner", "a")) == b"1"
+    assert i.core.store.get(("partner", "a")) == b"1"
     i.carry_out()
     assert (i.core.version, i.applies) == (3, [(3, [("partner", "a")])])  # what came and went is no change
 
@@ -282,7 +282,7 @@
     scene.kill("c")
     i = scene.ingress(kept=kept)
     scene.run(60_000)
-    assert (i.core.version, i.core.book.get(("partner", "a")), whom(i)) == (1, b"1", "")
+    assert (i.core.version, i.core.store.get(("partner", "a")), whom(i)) == (1, b"1", "")
 
 
 def test_versions_never_go_back(scene: Scene) -> None:
@@ -314,8 +314,8 @@
     scene.run(1_000)
     scene.commit(("a", b"later"))
     scene.run(1_000)
-    assert (i.core.version, i.core.book.digest()) == (4, c.store.digest())
-    assert i.core.book.get(("partner", "b")) is None
+    assert (i.core.version, i.core.store.digest()) == (4, c.store.digest())
+    assert i.core.store.get(("partner", "b")) is None
 
 
 def test_what_it_says_costs_little(scene: Scene) -> None:
