--- a/rushweir/rollout/watcher.py
+++ b/rushweir/rollout/watcher.py
@@ -79,8 +79,8 @@
         link = self.connections.primary
         return {
             "version": self.version, "known": max(self.buffer.version, self.head), "least": self.least,
-            "refused": self.refusal.why() if self.refusal else "", "on_disk": self.on_disk, "disk": self.disk_why,
-            "watches": self.connections.order[link.place] if link is not None and link.nonce >= 0 else "",
+            "refused": self.refusal.reason() if self.refusal else "", "on_disk": self.on_disk, "disk": self.disk_why,
+            "watches": self.connections.order[link.choice] if link is not None and link.nonce >= 0 else "",
             "current": link is not None and link.current,
         }  # fmt: skip
 
@@ -106,10 +106,10 @@
     def received(self, now: float, conn: int, text: bytes | str, weighed: LargeMessage | None = None) -> None:
         """``weighed``: what was done with it before."""
         self.now, self.weighed = now, weighed
-        link = self.connections.link(conn)
+        link = self.connections.find(conn)
         if link is None:
             return
-        link.heard_at = now
+        link.last_seen_at = now
         try:
             method, fields = watch_channel.read(text, self.key) if weighed is None else weighed.read()
             if method == "rollout.beat":
@@ -143,7 +143,9 @@
         self.buffer.refused()
         self.refusal = Refusal(version, key, field, text)
         self.counts["refused"] += 1
-        self.commands.append(LogEvent("error", "settings_refused", {"version": version, "why": self.refusal.why()}))
+        self.commands.append(
+            LogEvent("error", "settings_refused", {"version": version, "why": self.refusal.reason()})
+        )
         self._say_refused()
         if self.buffer.version > version:
             self._apply()
@@ -203,7 +205,7 @@
             if fields.get("waits") is True or head > self.head and self.head <= self.buffer.version:
                 self.progress_at = self.now  # it is behind from now on, not before; or only has to wait
             self.head = head
-        self.connections.beat(self.now, conn, nonce, head, fields.get("current") is True)
+        self.connections.heartbeat(self.now, conn, nonce, head, fields.get("current") is True)
 
     def _receive_change_set(self, fields: dict[str, Any]) -> None:
         weighed, self.weighed = self.weighed, None
--- a/rushweir/rollout/watcher_commands.py
+++ b/rushweir/rollout/watcher_commands.py
@@ -1,4 +1,4 @@
-"""What an ingress's side of the distribution orders its shell to do. Records; no I/O, no clock."""
+"""Commands of a watcher to its shell. Records; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,31 +14,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a message on a connection."""
+
     conn: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """All of it or nothing, answered by ``applied`` or ``refused``."""
+    """Apply all changes of a layer or none of them; answered by ``applied`` or ``refused``."""
 
     layer: FrozenLayer
     version: int
 
     @property
     def changes(self) -> tuple[Change, ...]:
-        """Worked out when first asked for; may be beside the loop, which takes 1 ms for 60 objects."""
+        """The changes, computed at the first use; 60 objects take 1 ms, so large ones belong in a thread."""
         return self.layer.changes
 
     @property
     def intermediate_values(self) -> Mapping[Key, tuple[bytes, ...] | None]:
-        """What objects were in versions between; None: not known."""
+        """Data that objects had in intermediate versions; None: unknown."""
         return self.layer.intermediate_values
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """For the disk, in the order given; answered by ``kept`` or ``persist_failed``."""
+    """Write to the disk, in the order of the commands; answered by ``persisted`` or ``persist_failed``."""
 
     operation: Append | Rewrite
     version: int
@@ -46,6 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
+    """Write a log event."""
+
     level: str
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
@@ -53,10 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
+    """A version that could not be applied, with the object and the field that are at fault."""
+
     version: int
     key: Key
     field: str
     text: str
 
-    def why(self) -> str:
+    def reason(self) -> str:
+        """The refusal as one line of at most MAX_TEXT_CHARS characters."""
         return f"{' '.join(self.key)}: {self.field}: {self.text}"[: watch_channel.MAX_TEXT_CHARS]
