--- a/tests/rollout/test_packed_object_store.py
+++ b/tests/rollout/test_packed_object_store.py
@@ -19,7 +19,7 @@
 from rushweir.rollout.object_store import ObjectStore, Row, bucket_of, encode_key, encode_object, encode_record
 from rushweir.rollout.packed_object_store import PackedObjectStore
 from rushweir.rollout.stored_settings import StoredSettings
-from rushweir.rollout.watcher import FOLD_MS, Watcher
+from rushweir.rollout.watcher import COMPACT_MS, Watcher
 from tests.rollout.test_object_store import rows_by_bucket
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
@@ -207,12 +207,12 @@
     digest = stored.store.digest()
     core = Watcher(0.0, "i", ("c",), stored)
     core.buffer.freeze()
-    core.advance(FOLD_MS)
+    core.advance(COMPACT_MS)
     assert not any(bucket.page for bucket in stored.store.buckets)  # type: ignore[attr-defined]
-    core.refused(2 * FOLD_MS, 1, ("", ""), "", "")
-    now, rounds = 2 * FOLD_MS, 0
+    core.refused(2 * COMPACT_MS, 1, ("", ""), "", "")
+    now, rounds = 2 * COMPACT_MS, 0
     while stored.store.needs_compaction:
-        now += FOLD_MS
+        now += COMPACT_MS
         assert core.next_at() <= now
         before = packed_buckets(stored.store)
         core.advance(now)
