--- a/tests/rollout/test_ceilings_leased.py
+++ b/tests/rollout/test_ceilings_leased.py
@@ -64,7 +64,7 @@
         plan, doors = PLAN, self.doors[k]
         if self.between and "a" in ways:
             plan = next(p for p in made if p.name == ways["a"].plan)
-            doors = ways["a"].first, ways["a"].spread
+            doors = ways["a"].first_gateway, ways["a"].gateway_count
         new = whole(plan, doors)
         if new != self.acts[k]:
             core = self.world.at[Sharers.place(k)].core
