--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -18,7 +18,7 @@
 from rushweir.fleet.status import status as fleet_status
 from rushweir.fleet.views import ACTIVE
 from rushweir.ingress import commands
-from rushweir.rollout.ceilings import CLOSED
+from rushweir.rollout.ceilings import BLOCKED
 
 if TYPE_CHECKING:
     from rushweir.ingress.core import Core
@@ -107,7 +107,7 @@
         if plan is not None:
             count = 0 if partner.gateway_count >= self.fleet.settings.slot_count else partner.gateway_count
             # A plan between two versions of the settings has no leases: each gateway owns its share.
-            minimum_share = 1.0 if plan.name.startswith(CLOSED) else self.minimum_share
+            minimum_share = 1.0 if plan.name.startswith(BLOCKED) else self.minimum_share
             total = BudgetTotal.from_units(
                 plan.ceiling_rate, plan.ceiling_burst, minimum_share, partner.first_gateway if count else 0, count
             )
--- a/rushweir/rollout/object_store.py
+++ b/rushweir/rollout/object_store.py
@@ -4,7 +4,7 @@
 spread over hash buckets by a checksum of their key. The digest of a bucket is the sum of the digests of its objects
 modulo 2^128, so that updating it costs as much as the change. The digest of the store is made of the version and the
 sum of all buckets. Such sums detect accidental damage, not manipulation; against that, messages are sealed with a key
-(watch_mail.py).
+(watch_channel.py).
 
 A deleted object leaves a tombstone with the version that deleted it, so that ``since`` can name it. There are at most
 MAX_TOMBSTONES; the oldest are dropped first, and ``tombstone_floor`` is the version of the last one dropped. Below it
--- a/rushweir/rollout/watch_session_records.py
+++ b/rushweir/rollout/watch_session_records.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout import watch_session_limits as limits
 from rushweir.rollout.object_store import ObjectStore, Row
 
@@ -142,6 +142,6 @@
             "base": base, "version": version, "piece": number, "rows": chunk, "marks": chunk_digests, "more": more
         }  # fmt: skip
         number += 1
-        yield mail.write("rollout.mend", {**fields, "digest": b"" if more else digest}, key)
+        yield watch_channel.write("rollout.mend", {**fields, "digest": b"" if more else digest}, key)
         if not more:
             return
--- a/rushweir/rollout/watch_sessions.py
+++ b/rushweir/rollout/watch_sessions.py
@@ -25,7 +25,7 @@
 from collections import Counter, deque
 from typing import Any
 
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import watch_channel
 from rushweir.rollout import watch_session_limits as limits
 from rushweir.rollout.applied_versions import EXPIRE_MS, AppliedVersions
 from rushweir.rollout.change_sets import ChangeSet, Key, pack
@@ -38,6 +38,7 @@
     encode_key,
     encode_object,
 )
+from rushweir.rollout.watch_channel import MAX_TEXT_CHARS, MessageError, bytes_field, int_field, text_field
 from rushweir.rollout.watch_session_records import (
     Close,
     Rates,
@@ -160,9 +161,9 @@
             return
         session.last_seen_at = now
         try:
-            method, fields = mail.read(text, self.key)
+            method, fields = watch_channel.read(text, self.key)
             self._received(session, method, fields)
-        except (mail.MailError, ObjectStoreError) as problem:
+        except (MessageError, ObjectStoreError) as problem:
             self.counts["bad_messages"] += 1
             self._drop(session, str(problem))
         self._pump()
@@ -214,18 +215,18 @@
         if method == "rollout.watch":
             self._watch(session, fields)
         elif not session.watcher:
-            raise mail.MailError(f"{method} before a watch")
+            raise MessageError(f"{method} before a watch")
         elif method == "rollout.parts":
             self._digests_received(session, fields)
         elif method == "rollout.acts":
-            self._record(session, mail.whole(fields, "version"), mail.text(fields, "why"))
+            self._record(session, int_field(fields, "version"), text_field(fields, "why"))
         elif method == "rollout.refused":
-            version, kind, name = mail.whole(fields, "version"), *(mail.text(fields, n) for n in ("kind", "name"))
-            why = f"{kind} {name}: {mail.text(fields, 'field')}: {mail.text(fields, 'text')}"[: mail.MOST_TEXT]
+            version, kind, name = int_field(fields, "version"), *(text_field(fields, n) for n in ("kind", "name"))
+            why = f"{kind} {name}: {text_field(fields, 'field')}: {text_field(fields, 'text')}"[:MAX_TEXT_CHARS]
             self.counts["refused"] += 1
-            self._record(session, mail.whole(fields, "acts"), why, version)
+            self._record(session, int_field(fields, "acts"), why, version)
         else:
-            raise mail.MailError(f"unknown method {method!r:.40}")
+            raise MessageError(f"unknown method {method!r:.40}")
 
     def _record(self, session: Session, version: int, why: str, refused: int = 0) -> None:
         old = self.applied_versions.known.get(session.watcher)
@@ -233,21 +234,21 @@
             # A keepalive, or an older version is on its disk now: it still refuses what it refused.
             why, refused = old.why, old.refused_version
         if not self.applied_versions.record(self.now, session.watcher, version, why, refused):
-            raise mail.MailError("too many ingresses are known")
+            raise MessageError("too many ingresses are known")
 
     def _watch(self, session: Session, fields: dict[str, Any]) -> None:
-        if mail.whole(fields, "nonce") != session.nonce:
-            raise mail.MailError("nonce of another session")
-        watcher, version = mail.text(fields, "who", mail.MOST_WHO), mail.whole(fields, "version")
-        digest, repair = mail.octets(fields, "digest", DIGEST_BYTES), fields.get("repair") is True
+        if int_field(fields, "nonce") != session.nonce:
+            raise MessageError("nonce of another session")
+        watcher, version = text_field(fields, "who", watch_channel.MAX_NAME_CHARS), int_field(fields, "version")
+        digest, repair = bytes_field(fields, "digest", DIGEST_BYTES), fields.get("repair") is True
         if not watcher or session.watcher not in ("", watcher):
-            raise mail.MailError("who: missing, or changed within a session")
+            raise MessageError("who: missing, or changed within a session")
         old = self.sessions.get(self.by_name.get(watcher, -1))
         if old is not None and old is not session:
             self._drop(old, "replaced by a newer session of the same watcher")
         session.watcher, self.by_name[watcher] = watcher, session.conn
         self.applied_versions.connected.add(watcher)
-        self._record(session, mail.whole(fields, "acts"), "")
+        self._record(session, int_field(fields, "acts"), "")
         self._unschedule(session)
         self._start_large()
         self.counts["watches"] += 1
@@ -271,16 +272,16 @@
     def _ask_digests(self, session: Session) -> None:
         session.state = SessionState.ASKED
         self.counts["asked"] += 1
-        self._send(session, mail.write("rollout.ask", {}, self.key))
+        self._send(session, watch_channel.write("rollout.ask", {}, self.key))
 
     def _digests_received(self, session: Session, fields: dict[str, Any]) -> None:
         if session.state is not SessionState.ASKED:
             return  # a newer watch came meanwhile
-        version = mail.whole(fields, "version")
+        version = int_field(fields, "version")
         if version > self.store.version:
             session.state, session.sent = SessionState.CHANGE_SETS, version
             return  # it is ahead of this process; no watcher goes back
-        session.theirs = mail.octets(fields, "digests", BUCKET_COUNT * DIGEST_BYTES)
+        session.theirs = bytes_field(fields, "digests", BUCKET_COUNT * DIGEST_BYTES)
         self.store.differing_buckets(session.theirs)  # raises if they are malformed
         session.sent, session.repair = version, fields.get("repair") is True
         self._enqueue(session)
@@ -373,7 +374,7 @@
         self.commands.append(Send(session.conn, message))
 
     def _change_set_message(self, change_set: ChangeSet, digest: bytes) -> bytes:
-        return mail.write("rollout.step", {"step": pack(change_set), "digest": digest}, self.key)
+        return watch_channel.write("rollout.step", {"step": pack(change_set), "digest": digest}, self.key)
 
     def _waits(self, session: Session) -> bool:
         """Return whether the watcher only has to wait, so that it need not ask again."""
@@ -388,7 +389,7 @@
         }  # fmt: skip
         if nonce is not None:
             fields["nonce"] = nonce
-        return mail.write("rollout.beat", fields, self.key)
+        return watch_channel.write("rollout.beat", fields, self.key)
 
     def _drop(self, session: Session, why: str) -> None:
         self.commands.append(Close(session.conn, why))
--- a/tests/rollout/test_large_messages.py
+++ b/tests/rollout/test_large_messages.py
@@ -13,16 +13,15 @@
 from hypothesis import strategies as st
 
 from rushweir.daemon.beside import GIVING_WAY_S, SWITCH_S, beside, giving_way
-from rushweir.rollout import packed_object_store, watching_ahead
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import packed_object_store, reorder_buffer, watch_channel
 from rushweir.rollout.change_sets import Change, ChangeSet, pack
 from rushweir.rollout.large_messages import LARGE_MESSAGE_CHARS, LargeMessage
 from rushweir.rollout.object_store import ObjectStore, encode_key, encode_object
 from rushweir.rollout.packed_object_store import PackedObjectStore
+from rushweir.rollout.reorder_buffer import ReorderBuffer
 from rushweir.rollout.stored_settings import StoredSettings
-from rushweir.rollout.watching import Watching
-from rushweir.rollout.watching_ahead import Ahead
-from rushweir.rollout.watching_commands import Apply
+from rushweir.rollout.watcher import Watcher
+from rushweir.rollout.watcher_commands import Apply
 from tests.rollout.conftest import KEY, Scene
 
 KEYS = st.tuples(st.sampled_from(["partner", "plan"]), st.text(max_size=2))
@@ -40,7 +39,7 @@
     packed_object_store.MAX_UNPACKED_ROWS = 0
     try:
         truth, store = ObjectStore(), PackedObjectStore()
-        ahead = Ahead(store)
+        ahead = ReorderBuffer(store)
 
         def act(action: str) -> None:
             if action == "freeze" and ahead.applying is None and ahead.rows:
@@ -64,9 +63,9 @@
             change_set = ChangeSet(version, tuple(changes))
             view = ahead.view()
             act(first_action)
-            delta = view.weigh(change_set)
+            delta = view.prepare_delta(change_set)
             truth.apply(change_set)
-            assert ahead.step(change_set, truth.digest(), delta)
+            assert ahead.take_change_set(change_set, truth.digest(), delta)
             assert (ahead.digest(), ahead.digests()) == (truth.digest(), truth.digests())
             assert (ahead.count, ahead.size) == (truth.count, truth.size)
             act(last_action)
@@ -75,7 +74,7 @@
 
 
 def change_set_message(change_set: ChangeSet, digest: bytes) -> bytes:
-    return mail.write("rollout.step", {"step": pack(change_set), "digest": digest}, KEY)
+    return watch_channel.write("rollout.step", {"step": pack(change_set), "digest": digest}, KEY)
 
 
 def large_change_set(version: int, count: int = 400) -> ChangeSet:
@@ -83,7 +82,7 @@
     return ChangeSet(version, tuple(Change(("partner", str(n)), d) for n, d in enumerate(data)))
 
 
-def watching() -> tuple[Watching, int, ObjectStore]:
+def watching() -> tuple[Watcher, int, ObjectStore]:
     """Return a connected watcher that applies version 1, its connection and a copy of the control process's store."""
     s = Scene()
     c = s.control("c")
@@ -91,8 +90,8 @@
     i = s.ingress()
     s.run(1_000)
     assert i.core.version == 1
-    assert i.core.links.main is not None
-    return i.core, i.core.links.main.conn, c.store.copy()
+    assert i.core.connections.primary is not None
+    return i.core, i.core.connections.primary.conn, c.store.copy()
 
 
 def test_large_message_is_prepared_and_a_small_one_is_not() -> None:
@@ -100,13 +99,13 @@
     change_set = large_change_set(2)
     store.apply(change_set)
     text = change_set_message(change_set, store.digest())
-    assert core.weighing(b"x" * LARGE_MESSAGE_CHARS) is None
-    message = core.weighing(text)
+    assert core.prepare_large_message(b"x" * LARGE_MESSAGE_CHARS) is None
+    message = core.prepare_large_message(text)
     assert message is not None
     message.prepare()
     core.received(core.now, conn, text, message)
-    assert core.ahead.digest() == store.digest()
-    (command,) = [o for o in core.orders if isinstance(o, Apply)]
+    assert core.buffer.digest() == store.digest()
+    (command,) = [o for o in core.commands if isinstance(o, Apply)]
     assert sorted(command.changes, key=lambda c: c.key) == sorted(change_set.changes, key=lambda c: c.key)
 
 
@@ -114,17 +113,17 @@
     core, conn, store = watching()
     first, second = large_change_set(2), large_change_set(3)
     computed: list[int] = []
-    real = watching_ahead.Ahead.weigh
+    real = reorder_buffer.ReorderBuffer.prepare_delta
     monkeypatch.setattr(
-        watching_ahead.Ahead,
-        "weigh",
+        reorder_buffer.ReorderBuffer,
+        "prepare_delta",
         lambda ahead, change_set: (computed.append(change_set.version), real(ahead, change_set))[1],
     )
     texts = []
     for change_set in (first, second):
         store.apply(change_set)
         texts.append(change_set_message(change_set, store.digest()))
-    one, two = core.weighing(texts[0]), core.weighing(texts[1])  # both on version 1
+    one, two = core.prepare_large_message(texts[0]), core.prepare_large_message(texts[1])  # both on version 1
     assert one is not None
     assert two is not None
     one.prepare()
@@ -134,8 +133,8 @@
     assert computed == [2]
     core.received(core.now, conn, texts[1], two)
     assert computed == [2, 3]
-    assert core.ahead.digest() == store.digest()
-    stale = LargeMessage(texts[1], KEY, core.ahead.view())
+    assert core.buffer.digest() == store.digest()
+    stale = LargeMessage(texts[1], KEY, core.buffer.view())
     stale.prepare()
     core.received(core.now, conn, texts[1], stale)
     assert core.counts["known"] == 1
@@ -145,14 +144,14 @@
     truth, store = ObjectStore(), PackedObjectStore()
     truth.put([(encode_key(("plan", "a")), encode_object(1, b"right"))], 1)
     store.put([(encode_key(("plan", "a")), encode_object(1, b"altered"))], 1)
-    ahead = Ahead(store)
+    ahead = ReorderBuffer(store)
     change_set = ChangeSet(2, (Change(("plan", "a"), b"new"),))
-    delta = ahead.view().weigh(change_set)
-    repair = watching_ahead.Delta(ahead)
+    delta = ahead.view().prepare_delta(change_set)
+    repair = reorder_buffer.Delta(ahead)
     repair.add(encode_key(("plan", "a")), encode_object(1, b"right"))
-    assert ahead.take(repair, 1, truth.digest())
+    assert ahead.take_delta(repair, 1, truth.digest())
     truth.apply(change_set)
-    assert ahead.step(change_set, truth.digest(), delta)
+    assert ahead.take_change_set(change_set, truth.digest(), delta)
 
 
 def test_altered_or_malformed_large_message_is_refused_as_a_small_one() -> None:
@@ -163,20 +162,20 @@
     noise = b"".join(sha256(b"%d" % n).digest() for n in range(900))
     damaged = [
         intact[:200] + bytes([intact[200] ^ 1]) + intact[201:],
-        mail.write("rollout.step", {"step": noise, "digest": b"x" * 16}, KEY),
-        mail.write("rollout.step", {"digest": b"x" * 16, "more": noise}, KEY),
+        watch_channel.write("rollout.step", {"step": noise, "digest": b"x" * 16}, KEY),
+        watch_channel.write("rollout.step", {"digest": b"x" * 16, "more": noise}, KEY),
     ]
     for n, text in enumerate(damaged, 1):
-        message = core.weighing(text)
+        message = core.prepare_large_message(text)
         assert message is not None
         message.prepare()
         core.received(core.now, conn, text, message)
-        assert (core.counts["bad_messages"], core.ahead.version) == (n, 1)
-    message = core.weighing(intact)
+        assert (core.counts["bad_messages"], core.buffer.version) == (n, 1)
+    message = core.prepare_large_message(intact)
     assert message is not None
     message.prepare()
     core.received(core.now, conn, intact, message)
-    assert core.ahead.version == 2
+    assert core.buffer.version == 2
 
 
 def test_delta_of_a_change_set_decompresses_each_bucket_at_most_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -187,17 +186,17 @@
     decompressed: list[int] = []
     real = packed_object_store.decompress
     monkeypatch.setattr(packed_object_store, "decompress", lambda page: (decompressed.append(1), real(page))[1])
-    ahead = Ahead(stored.store)
+    ahead = ReorderBuffer(stored.store)
     change_set = large_change_set(2, 4_000)
-    delta = ahead.weigh(change_set)
+    delta = ahead.prepare_delta(change_set)
     assert len(decompressed) <= 256
-    ahead.take(delta, 2, b"")  # wrong digest: nothing is taken
+    ahead.take_delta(delta, 2, b"")  # wrong digest: nothing is taken
     assert ahead.version == 1
     right = ObjectStore()
     right.put([row for bucket in stored.store.buckets for row in bucket.items()], 1)
     right.apply(change_set)
     decompressed.clear()
-    assert ahead.step(change_set, right.digest(), delta)
+    assert ahead.take_change_set(change_set, right.digest(), delta)
     frozen = ahead.freeze()
     assert frozen.changes
     assert len(decompressed) <= 256
--- a/tests/rollout/test_watch_sessions.py
+++ b/tests/rollout/test_watch_sessions.py
@@ -6,8 +6,7 @@
 
 import pytest
 
-from rushweir.rollout import object_store, watch_session_limits
-from rushweir.rollout import watch_mail as mail
+from rushweir.rollout import object_store, watch_channel, watch_session_limits
 from rushweir.rollout.change_sets import MAX_OBJECT_BYTES, Change, ChangeSet
 from rushweir.rollout.object_store import ObjectStoreError, encode_key, encode_object
 from rushweir.rollout.stored_settings import StoredSettings
@@ -16,7 +15,7 @@
 
 
 def methods(scene: Scene) -> list[str]:
-    return [m for _, _, data in scene.sent if (m := mail.read(data, KEY)[0]) != "rollout.beat"]
+    return [m for _, _, data in scene.sent if (m := watch_channel.read(data, KEY)[0]) != "rollout.beat"]
 
 
 def data(n: int) -> bytes:
@@ -76,10 +75,16 @@
     ingress = scene.ingress(kept=stored)
     scene.run(1_000)
     assert methods(scene) == ["rollout.ask", "rollout.mend"]
-    assert (ingress.core.version, ingress.core.ahead.digest()) == (41, control.store.digest())
+    assert (ingress.core.version, ingress.core.buffer.digest()) == (41, control.store.digest())
     assert control.counts["wholes"] == 0
-    fields = mail.read(scene.sent[-1][2], KEY)[1] if mail.read(scene.sent[-1][2], KEY)[0] == "rollout.mend" else None
-    fields = fields or next(f for _, _, d in scene.sent for m, f in [mail.read(d, KEY)] if m == "rollout.mend")
+    fields = (
+        watch_channel.read(scene.sent[-1][2], KEY)[1]
+        if watch_channel.read(scene.sent[-1][2], KEY)[0] == "rollout.mend"
+        else None
+    )
+    fields = fields or next(
+        f for _, _, d in scene.sent for m, f in [watch_channel.read(d, KEY)] if m == "rollout.mend"
+    )
     assert sum(held is not None for _, held in fields["rows"]) == 4
 
 
@@ -94,8 +99,8 @@
     ingress = scene.ingress(kept=stored)
     scene.run(1_000)
     assert control.store.deleted_since(1) is None
-    assert (ingress.core.version, ingress.core.ahead.digest()) == (21, control.store.digest())
-    assert (control.counts["wholes"], ingress.core.book.count) == (0, 280)
+    assert (ingress.core.version, ingress.core.buffer.digest()) == (21, control.store.digest())
+    assert (control.counts["wholes"], ingress.core.store.count) == (0, 280)
 
 
 def test_delta_replaces_many_change_sets_if_it_is_smaller(scene: Scene) -> None:
@@ -117,8 +122,8 @@
     stored.store.put([(encode_key(("partner", "p7")), encode_object(1, b"altered"))], 1)
     ingress = scene.ingress(kept=stored)
     scene.run(2_000)
-    assert ingress.core.ahead.digest() == ingress.core.book.digest() == control.store.digest()
-    assert ingress.core.book.get(("partner", "p7")) == data(7)
+    assert ingress.core.buffer.digest() == ingress.core.store.digest() == control.store.digest()
+    assert ingress.core.store.get(("partner", "p7")) == data(7)
     assert control.counts["wholes"] == 0
 
 
@@ -141,10 +146,10 @@
     scene.ingress()
     scene.run(1_000)
     ingress = scene.ingresses[0]
-    assert ingress.core.version == 0 and ingress.core.mend is not None
+    assert ingress.core.version == 0 and ingress.core.repair_delta is not None
     scene.commit(("p1", b"new"))
     scene.run(150_000)
-    assert (ingress.core.version, ingress.core.ahead.digest()) == (5, control.store.digest())
+    assert (ingress.core.version, ingress.core.buffer.digest()) == (5, control.store.digest())
     assert control.counts["wholes"] == 1
     assert methods(scene).count("rollout.mend") > 5
 
@@ -252,14 +257,14 @@
     fields = {"who": "x", "version": 0, "digest": b"", "acts": 0, "repair": False}
     control.opened(scene.now, 1)
     control.received(
-        scene.now, 1, mail.write("rollout.watch", {**fields, "nonce": control.sessions[1].nonce + 1}, KEY)
+        scene.now, 1, watch_channel.write("rollout.watch", {**fields, "nonce": control.sessions[1].nonce + 1}, KEY)
     )
     control.opened(scene.now, 2)
     control.received(
-        scene.now, 2, mail.write("rollout.watch", {**fields, "nonce": control.sessions[2].nonce}, b"guessed")
+        scene.now, 2, watch_channel.write("rollout.watch", {**fields, "nonce": control.sessions[2].nonce}, b"guessed")
     )
     control.opened(scene.now, 3)
-    control.received(scene.now, 3, mail.write("rollout.acts", {"version": 1, "why": ""}, KEY))
+    control.received(scene.now, 3, watch_channel.write("rollout.acts", {"version": 1, "why": ""}, KEY))
     assert (control.sessions, control.counts["bad_messages"], control.applied_versions.known) == ({}, 3, {})
 
 
@@ -305,7 +310,7 @@
     scene.commit(("e", b"3"), controls=("c",))
     lagging.snapshot_installed(scene.now, 3, {key: (version, data) for key, version, data in control.store.objects()})
     scene.run(500)
-    assert lagging.store.digest() == control.store.digest() == ingress.core.book.digest()
+    assert lagging.store.digest() == control.store.digest() == ingress.core.store.digest()
     scene.commit(("a", b"4"))
     scene.run(500)
     assert (ingress.core.version, lagging.counts["wholes"]) == (4, 1)
@@ -322,4 +327,4 @@
     last_version = scene.commit(("p1", b"small"))
     scene.run(2_000)
     assert (version, ingress.core.version, other.core.version) == (1, last_version, last_version)
-    assert ingress.core.book.digest() == control.store.digest()
+    assert ingress.core.store.digest() == control.store.digest()
