--- a/tests/rollout/test_ceilings_leased.py
+++ b/tests/rollout/test_ceilings_leased.py
@@ -1,4 +1,4 @@
-"""Doors that change where ceilings are lent: members of a fleet with their budgets, each by its own version."""
+"""Changes of a customer's gateways where ceilings are leased: members of a fleet, each by its own version."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushweir import interface as i
+from rushweir import interface
 from rushweir.budgets.records import BudgetTotal
 from rushweir.ingress.websocket import release_lease
 from rushweir.lab.sim.fleets import Broken
@@ -23,72 +23,76 @@
     interim_plans,
 )
 
-COUNT, FLOOR, ASK_MS, STEP_MS = 4, 0.25, 150.0, 700.0
-PLAN = i.Plan("tin", 100.0, 100.0, 0, 40.0, 60.0)
-WAYS = [(0, 0), (0, 1), (1, 1), (0, 2), (2, 2), (1, 3), (3, 2)]
+COUNT, FLOOR, REQUEST_MS, STEP_MS = 4, 0.25, 150.0, 700.0
+PLAN = interface.Plan("tin", 100.0, 100.0, 0, 40.0, 60.0)
+RANGES = [(0, 0), (0, 1), (1, 1), (0, 2), (2, 2), (1, 3), (3, 2)]
 
 
-def whole(plan: i.Plan, doors: GatewayRange) -> BudgetTotal:
-    """As a member asks for it."""
+def budget_total(plan: interface.Plan, gateways: GatewayRange) -> BudgetTotal:
+    """The total of a plan's budget as a member requests it."""
     floor = 1.0 if plan.name.startswith(BLOCKED) else FLOOR
     return BudgetTotal.from_units(
-        plan.ceiling_rate, plan.ceiling_burst, floor, *(doors if doors[1] % COUNT else (0, 0))
+        plan.ceiling_rate, plan.ceiling_burst, floor, *(gateways if gateways[1] % COUNT else (0, 0))
     )
 
 
 class Fleet:
-    """Members that spend as much of one budget as they may; the sum of what they may is looked at in each turn."""
+    """Members that spend as much of one budget as they may; the sum of their shares is checked at each event."""
 
-    def __init__(self, seed: int, doors: GatewayRange, between: bool = True, plan: i.Plan = PLAN) -> None:
-        self.world, self.between = World(seed), between
+    def __init__(
+        self, seed: int, gateways: GatewayRange, with_interim: bool = True, plan: interface.Plan = PLAN
+    ) -> None:
+        self.world, self.with_interim = World(seed), with_interim
         self.fleet = Sharers(self.world, 3, COUNT, 0.01, keep_ms=6_000.0, view_ms=3_000.0)
-        self.fleet.share("a", whole(plan, (0, 0)))
-        self.doors = dict.fromkeys(range(COUNT), doors)  # where clients come, by what each member acts on
-        self.acts = dict.fromkeys(range(COUNT), whole(plan, doors))
-        self.known = [IntermediateVersions()] * COUNT
+        self.fleet.share("a", budget_total(plan, (0, 0)))
+        self.gateways = dict.fromkeys(range(COUNT), gateways)  # of the customer, in the acting version of each member
+        self.totals = dict.fromkeys(range(COUNT), budget_total(plan, gateways))
+        self.intermediate = [IntermediateVersions()] * COUNT
         for k in range(COUNT):
             self.fleet.start(k, k)
-            self.world.later(ASK_MS, self._asks, k)
+            self.world.later(REQUEST_MS, self._request, k)
         self.world.run(20_000.0)
 
-    def _asks(self, k: int) -> None:
-        self.world.later(self.world.rng.uniform(0, 2 * ASK_MS), self._asks, k)
+    def _request(self, k: int) -> None:
+        self.world.later(self.world.rng.uniform(0, 2 * REQUEST_MS), self._request, k)
         p = self.world.at[Sharers.place(k)]
-        if gateway_group_size(self.doors[k], k, COUNT):
+        if gateway_group_size(self.gateways[k], k, COUNT):
             for _ in range(6):
-                p.core.want(p.clock(self.world.now), "a", self.acts[k], 1_000)
+                p.core.want(p.clock(self.world.now), "a", self.totals[k], 1_000)
                 self.world._turned(p)
 
-    def _act(self, k: int) -> None:
-        ways, made = interim_plans(self.known[k], {"a": ("tin", self.doors[k])}, {"tin": PLAN}, k, COUNT, FLOOR, True)
-        plan, doors = PLAN, self.doors[k]
-        if self.between and "a" in ways:
-            plan = next(p for p in made if p.name == ways["a"].plan)
-            doors = ways["a"].first_gateway, ways["a"].gateway_count
-        new = whole(plan, doors)
-        if new != self.acts[k]:
+    def _apply(self, k: int) -> None:
+        interim, made = interim_plans(
+            self.intermediate[k], {"a": ("tin", self.gateways[k])}, {"tin": PLAN}, k, COUNT, FLOOR, True
+        )
+        plan, gateways = PLAN, self.gateways[k]
+        if self.with_interim and "a" in interim:
+            plan = next(p for p in made if p.name == interim["a"].plan)
+            gateways = interim["a"].first_gateway, interim["a"].gateway_count
+        new = budget_total(plan, gateways)
+        if new != self.totals[k]:
             core = self.world.at[Sharers.place(k)].core
             release_lease(core.budgets, "a")
             core.buckets.pop("a", None)
-            self.acts[k] = new
+            self.totals[k] = new
 
-    def step(self, k: int, doors: GatewayRange, version: int) -> None:
-        if doors != self.doors[k]:
-            self.known[k] = self.known[k].with_changes(version, {"a": self.doors[k]})
-            self.doors[k] = doors
-        self._act(k)
+    def step(self, k: int, gateways: GatewayRange, version: int) -> None:
+        if gateways != self.gateways[k]:
+            self.intermediate[k] = self.intermediate[k].with_changes(version, {"a": self.gateways[k]})
+            self.gateways[k] = gateways
+        self._apply(k)
         self.world.run(self.world.now + STEP_MS)
 
     def settled(self, k: int, version: int) -> None:
-        self.known[k] = self.known[k].with_minimum_version(version)
-        self._act(k)
+        self.intermediate[k] = self.intermediate[k].with_minimum_version(version)
+        self._apply(k)
         self.world.run(self.world.now + STEP_MS / 7)
 
-    def play(self, ways: list[GatewayRange], order: list[int]) -> float:
-        """Raises Broken. How much of the whole is served a second at the end, in parts of it."""
-        for version, doors in enumerate(ways, 1):
+    def play(self, ranges: list[GatewayRange], order: list[int]) -> float:
+        """Return which fraction of the total is served at the end. Raises Broken."""
+        for version, gateways in enumerate(ranges, 1):
             for k in order:
-                self.step(k, doors, version)
+                self.step(k, gateways, version)
             self.world.run(self.world.now + EXPIRY_LEASES * TERM_MS)
             for k in order[1:] + order[:1]:
                 self.settled(k, version)
@@ -102,9 +106,9 @@
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
-@given(st.integers(0, 99), st.lists(st.sampled_from(WAYS), min_size=2, max_size=3), st.permutations(range(COUNT)))
-def test_parts_lent_among_old_and_new_doors_are_never_more_than_one_whole(seed, ways, order):
-    assert Fleet(seed, ways[0]).play(ways[1:], list(order)) > 0.5
+@given(st.integers(0, 99), st.lists(st.sampled_from(RANGES), min_size=2, max_size=3), st.permutations(range(COUNT)))
+def test_shares_leased_among_old_and_new_gateways_never_exceed_the_total(seed, ranges, order):
+    assert Fleet(seed, ranges[0]).play(ranges[1:], list(order)) > 0.5
 
 
 FIGURES = st.sampled_from([(40.0, 60.0), (20.0, 30.0), (60.0, 12.0), (10.0, 90.0)])
@@ -112,26 +116,31 @@
 
 @settings(max_examples=6, deadline=None, derandomize=True)
 @given(st.integers(0, 99), FIGURES, FIGURES, st.permutations(range(COUNT)))
-def test_other_figures_of_a_plan_are_lent_within_the_larger(seed, old, new, order):
+def test_shares_of_a_changed_plan_stay_within_the_larger_total(seed, old, new, order):
     made = Fleet(seed, (0, 0), plan=replace(PLAN, ceiling_rate=old[0], ceiling_burst=old[1]))
     made.fleet.share("a", BudgetTotal.from_units(max(old[0], new[0]), max(old[1], new[1])))
     for k in order:
-        made.acts[k] = BudgetTotal.from_units(*new, FLOOR)
+        made.totals[k] = BudgetTotal.from_units(*new, FLOOR)
         made.world.run(made.world.now + STEP_MS)
     made.world.run(made.world.now + EXPIRY_LEASES * TERM_MS)
-    made.fleet.share("a", BudgetTotal.from_units(*new))  # and within the new, once all act on it and the old is over
+    # Within the new total, once all act on it and the old leases are over.
+    made.fleet.share("a", BudgetTotal.from_units(*new))
     made.world.run(made.world.now + 4_000.0)
     assert made._served() > 0
 
 
-def test_it_is_found_that_old_and_new_homes_lend_at_once():
-    """A planted fault: nothing in between."""
+def test_fault_is_found_where_old_and_new_owners_lease_at_once():
+    """An injected fault: no interim state."""
     with pytest.raises(Broken, match="parts of"):
         for seed in range(5):
-            Fleet(seed, (0, 2), between=False).play([(2, 2)], [2, 3, 0, 1])
+            Fleet(seed, (0, 2), with_interim=False).play([(2, 2)], [2, 3, 0, 1])
 
 
-def test_an_ingress_without_a_part_has_a_closed_plan():
-    between, now = IntermediateVersions().with_changes(1, {"a": (0, 2)}), {"a": ("tin", (2, 2))}
-    ways, made = interim_plans(between, now, {"tin": PLAN}, 2, COUNT, FLOOR, True)
-    assert ways["a"].plan == BLOCKED and whole(made[0], (2, 1)).rate == whole(made[0], (2, 1)).burst == 0
+def test_ingress_without_a_share_has_a_blocked_plan():
+    intermediate = IntermediateVersions().with_changes(1, {"a": (0, 2)})
+    now = {"a": ("tin", (2, 2))}
+    interim, made = interim_plans(intermediate, now, {"tin": PLAN}, 2, COUNT, FLOOR, True)
+    assert (
+        interim["a"].plan == BLOCKED
+        and budget_total(made[0], (2, 1)).rate == budget_total(made[0], (2, 1)).burst == 0
+    )
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -32,7 +32,7 @@
             assert not [x for x in s.lines[name] if x["event"] == "rollout_failed"]
 
         for k in (0, 1, 2):
-            await s.stage.kill(k)
+            await s.control.kill(k)
         await s.kill("door-a")
         await s.start("door-a")
         await s.serving("door-a")
@@ -101,8 +101,8 @@
         await s.first()
         await s.serving(*DOORS)
         where = (await s.status("door-a"))["rollout"]["watches"]
-        k = s.stage.ports.index(int(where.rpartition(":")[2]))
-        await s.stage.kill(k)
+        k = s.control.ports.index(int(where.rpartition(":")[2]))
+        await s.control.kill(k)
         number = await s.change(("partner", "p0", partner(80)))
         await s.in_force(number, *DOORS)
         assert (await s.status("door-a"))["rollout"]["watches"] not in ("", where)
@@ -150,7 +150,7 @@
         for name in ("door-a", "door-b"):
             await s.line(name, "settings_everywhere", version=first)
         await s.kill("door-b")
-        s.doors["door-a"].send_signal(signal.SIGSTOP)  # it acts on the first, and is not told of the move
+        s.processes["door-a"].send_signal(signal.SIGSTOP)  # it acts on the first, and is not told of the move
         moved = await s.change(("partner", "p0", partner(0, "through 1 1\n")))
         shutil.rmtree(s.folder / "run-door-b")
         await s.start("door-b")
@@ -162,7 +162,7 @@
         await s.start("door-b")  # what it did not know at its start it does not know now
         await s.serving("door-b")
         assert (await s.status("door-b"))["rollout"]["held_down"] == 1
-        s.doors["door-a"].send_signal(signal.SIGCONT)
+        s.processes["door-a"].send_signal(signal.SIGCONT)
         await s.line("door-b", "settings_everywhere", version=moved)
         assert (await s.status("door-b"))["rollout"]["held_down"] == 0
 
--- a/tests/rollout/test_watch_connections.py
+++ b/tests/rollout/test_watch_connections.py
@@ -1,4 +1,4 @@
-"""Which of the control processes an ingress watches."""
+"""The choice of the control process that an ingress watches."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
         scene.control(name)
 
 
-def test_each_has_an_order_of_its_own_and_first_choices_are_even() -> None:
+def test_each_name_has_its_own_order_and_first_choices_are_even() -> None:
     orders = [preference(f"ingress {k}", THREE) for k in range(700)]
     assert preference("ingress 5", ("e", "c", "d")) == orders[5]
     firsts, pairs = Counter(o[0] for o in orders), Counter(o[:2] for o in orders)
     assert all(190 < n < 280 for n in firsts.values())
-    assert all(80 < n < 155 for n in pairs.values())  # of those of one that goes, each other gets half
+    assert all(80 < n < 155 for n in pairs.values())  # each of the others gets half of the watchers of a lost one
 
 
-def test_those_of_one_that_goes_move_on_to_the_others_not_at_once_and_not_to_one(scene: Scene) -> None:
+def test_watchers_of_a_lost_control_process_spread_over_the_others_and_over_time(scene: Scene) -> None:
     three(scene)
     ingresses = [scene.ingress(f"i{k}", THREE) for k in range(120)]
     scene.run(2_000)
@@ -45,8 +45,8 @@
     assert at[-1] - at[0] < 2_000
 
 
-def test_without_jitter_they_come_at_once(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The assertion above is able to fail."""
+def test_without_jitter_watchers_reconnect_at_once(scene: Scene, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shows that the assertion of the test above can fail."""
     monkeypatch.setattr(watch_connections, "PAUSE_MS", (0.0, 0.0))
     three(scene)
     ingresses = [scene.ingress(f"i{k}", THREE) for k in range(60)]
@@ -57,7 +57,7 @@
     assert all(whom(i) for i in gone)
 
 
-def test_it_goes_back_to_its_first_choice_without_letting_go_of_what_serves_it(scene: Scene) -> None:
+def test_returns_to_its_first_choice_without_losing_the_working_connection(scene: Scene) -> None:
     three(scene)
     i = scene.ingress("i1", THREE)
     scene.run(2_000)
@@ -80,7 +80,7 @@
     assert i.core.connections.trial is None and len(i.wire) == 1
 
 
-def test_a_first_choice_that_stays_away_is_tried_less_often(scene: Scene) -> None:
+def test_first_choice_that_stays_unreachable_is_tried_less_often(scene: Scene) -> None:
     three(scene)
     i = scene.ingress("i1", THREE)
     scene.run(2_000)
@@ -91,7 +91,7 @@
     assert 4 < i.core.connections.serial - before < 20
 
 
-def test_it_leaves_one_whom_no_majority_hears(scene: Scene) -> None:
+def test_leaves_a_control_process_that_no_majority_hears(scene: Scene) -> None:
     three(scene)
     i = scene.ingress("i1", THREE)
     scene.run(2_000)
@@ -103,7 +103,7 @@
     assert i.core.version == 1
 
 
-def test_where_no_majority_is_it_stays_and_has_what_is_newest(scene: Scene) -> None:
+def test_without_a_majority_it_stays_until_another_has_newer_settings(scene: Scene) -> None:
     three(scene)
     i = scene.ingress("i1", THREE)
     scene.run(2_000)
@@ -117,7 +117,7 @@
     assert whom(i) != first
 
 
-def test_one_that_says_nothing_any_more_is_left(scene: Scene) -> None:
+def test_leaves_a_silent_control_process(scene: Scene) -> None:
     scene.control("c"), scene.control("d")
     i = scene.ingress("i1", ("c", "d"))
     scene.run(2_000)
@@ -128,7 +128,7 @@
     assert whom(i) not in ("", first)
 
 
-def test_a_dial_that_comes_to_nothing_is_given_up() -> None:
+def test_dial_that_does_not_open_is_given_up() -> None:
     w = Watcher(0.0, "a", ("c", "d"), StoredSettings(), KEY)
     for _ in range(40):
         w.advance(w.next_at())
--- a/tests/rollout/test_watcher.py
+++ b/tests/rollout/test_watcher.py
@@ -1,4 +1,4 @@
-"""An ingress's side: what it takes and refuses, whom it has apply and keep it, and what it says."""
+"""The watcher: what it takes and refuses, its commands to apply and to persist, and its reports."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 from tests.rollout.conftest import KEY, Ingress, Scene, whom
 
 
-def steps_of(scene: Scene, count: int) -> list[bytes]:
-    """Messages with steps, as a control process sends them."""
+def change_set_messages(scene: Scene, count: int) -> list[bytes]:
+    """Messages with change sets, as a control process sends them."""
     c = scene.control("other")
     for n in range(count):
         c.committed(scene.now, ChangeSet(n + 1, (Change(("partner", f"p{n}"), b"%d" % n),)))
     return [r.message for r in c.recent.values()]
 
 
-def opened(scene: Scene) -> Ingress:
-    """It watches a control process that has nothing; what comes is given to it by hand."""
+def watching_ingress(scene: Scene) -> Ingress:
+    """An ingress that watches a control process without settings; the test passes it messages directly."""
     scene.control("c")
     i = scene.ingress()
     scene.run(100)
     return i
 
 
-# --- what it takes --------------------------------------------------------------------------------
+# --- messages received ---------------------------------------------------------------------------
 
 
-def test_steps_twice_and_late_change_nothing(scene: Scene) -> None:
-    i, steps = opened(scene), steps_of(scene, 3)
-    for message in (steps[0], steps[0], steps[1], steps[0], steps[1], steps[2], steps[2]):
+def test_repeated_and_late_change_sets_change_nothing(scene: Scene) -> None:
+    i, messages = watching_ingress(scene), change_set_messages(scene, 3)
+    for message in (messages[0], messages[0], messages[1], messages[0], messages[1], messages[2], messages[2]):
         i.core.received(scene.now, 1, message)
         i.carry_out()
     assert [v for v, _ in i.applies] == [1, 2, 3]
     assert i.core.counts["known"] == 4
 
 
-def test_a_step_ahead_of_its_predecessor_is_not_taken_and_asked_for_again(scene: Scene) -> None:
-    i, steps = opened(scene), steps_of(scene, 3)
-    i.core.received(scene.now, 1, steps[2])
-    i.core.received(scene.now, 1, steps[1])
+def test_change_set_beyond_the_next_is_not_taken_and_asked_for_again(scene: Scene) -> None:
+    i, messages = watching_ingress(scene), change_set_messages(scene, 3)
+    i.core.received(scene.now, 1, messages[2])
+    i.core.received(scene.now, 1, messages[1])
     i.carry_out()
     assert (i.core.version, i.core.counts["ahead"]) == (0, 2)
     before = i.core.counts["watches"]
@@ -54,7 +54,7 @@
     assert i.core.counts["watches"] == before + 1  # once for both
 
 
-def test_altered_bytes_are_refused_and_asked_for_again(scene: Scene) -> None:
+def test_altered_message_is_refused_and_asked_for_again(scene: Scene) -> None:
     scene.control("c")
     i = scene.ingress()
     scene.commit(("p", b"0"))
@@ -77,7 +77,7 @@
     assert [n.event for n in i.notes] == ["rollout_message_refused"] * len(i.notes) and i.notes
 
 
-def test_one_that_sends_only_altered_bytes_is_left(scene: Scene) -> None:
+def test_control_process_that_sends_only_altered_messages_is_left(scene: Scene) -> None:
     scene.control("c"), scene.control("d")
     i = scene.ingress("i1", ("c", "d"))
     scene.run(100)
@@ -92,8 +92,8 @@
     assert whom(i) != "" and first in ("c", "d")
 
 
-def test_a_step_whose_digest_does_not_fit_is_not_taken(scene: Scene) -> None:
-    i = opened(scene)
+def test_change_set_whose_digest_does_not_match_is_not_taken(scene: Scene) -> None:
+    i = watching_ingress(scene)
     step = ChangeSet(1, (Change(("partner", "a"), b"1"),))
     i.core.received(scene.now, 1, watch_channel.write("rollout.step", {"step": pack(step), "digest": b"x" * 16}, KEY))
     i.carry_out()
@@ -101,7 +101,7 @@
     assert (i.core.buffer.rows, i.core.repairing) == ({}, True)
 
 
-PIECE = {"base": 0, "version": 1, "piece": 0, "more": True, "digest": b""}
+CHUNK = {"base": 0, "version": 1, "piece": 0, "more": True, "digest": b""}
 
 
 @pytest.mark.parametrize(
@@ -109,20 +109,20 @@
     [
         ("rollout.step", {"step": b"x", "digest": b""}),
         ("rollout.step", {"digest": b""}),
-        ("rollout.mend", {**PIECE, "rows": [["", b"1"]], "marks": {}}),
-        ("rollout.mend", {**PIECE, "rows": [7], "marks": {}}),
-        ("rollout.mend", {**PIECE, "rows": [], "marks": {999: b""}}),
-        ("rollout.mend", {**PIECE, "rows": 7, "marks": {}}),
+        ("rollout.mend", {**CHUNK, "rows": [["", b"1"]], "marks": {}}),
+        ("rollout.mend", {**CHUNK, "rows": [7], "marks": {}}),
+        ("rollout.mend", {**CHUNK, "rows": [], "marks": {999: b""}}),
+        ("rollout.mend", {**CHUNK, "rows": 7, "marks": {}}),
         ("rollout.beat", {"head": -1, "least": 0}),
     ],
 )
-def test_sealed_messages_that_are_none_change_nothing(scene: Scene, method: str, fields: dict) -> None:
-    i = opened(scene)
+def test_malformed_sealed_messages_change_nothing(scene: Scene, method: str, fields: dict) -> None:
+    i = watching_ingress(scene)
     i.core.received(scene.now, 1, watch_channel.write(method, fields, KEY))
     assert (i.core.counts["bad_messages"], i.core.buffer.version, i.core.repair_delta) == (1, 0, None)
 
 
-def test_pieces_cut_off_in_the_middle_change_nothing_and_come_anew(scene: Scene) -> None:
+def test_chunks_cut_off_in_the_middle_change_nothing_and_are_sent_again(scene: Scene) -> None:
     c = scene.control("c")
     scene.commit(*((f"p{n}", random.Random(n).randbytes(200)) for n in range(1_000)))
     seen = 0
@@ -143,10 +143,10 @@
     assert (i.core.version, i.core.buffer.digest()) == (1, c.store.digest())
 
 
-# --- the one who applies, and the disk ------------------------------------------------------------
+# --- applying and persisting ----------------------------------------------------------------------
 
 
-def test_a_refusal_leaves_all_as_it_was_and_a_later_step_mends_it(scene: Scene) -> None:
+def test_refusal_changes_nothing_and_a_later_change_set_corrects_it(scene: Scene) -> None:
     c = scene.control("c")
     i, other = scene.ingress("i"), scene.ingress("other")
     scene.commit(("a", b"1"), ("b", b"1"))
@@ -162,12 +162,12 @@
     scene.commit(("b", b"good"))
     scene.run(500)
     assert i.core.version == 4
-    # As a whole from its version on: all that it missed in one.
+    # All changes since its acting version are applied together.
     assert i.applies[-1] == (4, [("partner", n) for n in "abc"])
     assert (i.core.status()["refused"], i.core.store.digest()) == ("", c.store.digest())
 
 
-def test_what_is_refused_is_not_tried_again_until_something_changed(scene: Scene) -> None:
+def test_refused_version_is_not_applied_again_until_something_changes(scene: Scene) -> None:
     scene.control("c")
     i = scene.ingress("i")
     i.refuses[("partner", "b")] = b"bad"
@@ -176,14 +176,17 @@
     assert i.core.counts["refused"] == 1
 
 
-def test_a_refusal_is_not_forgotten_as_the_disk_gets_what_was_before_it(scene: Scene) -> None:
+def test_refusal_is_kept_when_the_version_before_it_reaches_the_disk(scene: Scene) -> None:
     c, i = scene.control("c"), scene.ingress("i")
     i.slow, i.refuses[("partner", "b")] = [], b"bad"
     scene.commit(("a", b"1"))
     scene.run(2_500)
     scene.commit(("b", b"bad"))
     scene.run(2_500)
-    assert (c.rows()[0]["acts"], c.rows()[0]["refused"]) == (0, 2)  # it says what it acts on once that is kept
+    assert (c.rows()[0]["acts"], c.rows()[0]["refused"]) == (
+        0,
+        2,
+    )  # the acting version is reported once it is on disk
     (keep,) = i.slow
     i.core.persisted(scene.now, keep.version)
     scene.run(10_000)
@@ -195,7 +198,7 @@
     assert (c.rows()[0]["acts"], c.rows()[0]["refused"], c.rows()[0]["why"]) == (3, 0, "")
 
 
-def test_a_refusal_is_told_to_the_next_control_process_too(scene: Scene) -> None:
+def test_refusal_is_reported_to_the_next_control_process_too(scene: Scene) -> None:
     scene.control("c"), scene.control("d")
     i = scene.ingress("i", ("c", "d"))
     i.refuses[("partner", "b")] = b"bad"
@@ -208,7 +211,7 @@
     assert left.rows()[0]["why"] == "partner b: rate: too large here"
 
 
-def test_steps_that_come_while_one_is_applied_are_applied_after_it(scene: Scene) -> None:
+def test_change_sets_received_while_one_is_applied_are_applied_after_it(scene: Scene) -> None:
     scene.control("c")
     i = scene.ingress("i")
     scene.run(100)
@@ -222,10 +225,13 @@
     i.core.applied(scene.now, 1)
     assert i.core.store.get(("partner", "a")) == b"1"
     i.carry_out()
-    assert (i.core.version, i.applies) == (3, [(3, [("partner", "a")])])  # what came and went is no change
+    assert (i.core.version, i.applies) == (
+        3,
+        [(3, [("partner", "a")])],
+    )  # an object created and deleted in between is no change
 
 
-def test_it_says_that_it_acts_only_when_that_is_on_disk(scene: Scene) -> None:
+def test_acting_version_is_reported_only_when_it_is_on_disk(scene: Scene) -> None:
     c = scene.control("c")
     w = Watcher(scene.now, "a", ("c",), StoredSettings(), KEY)
     w.advance(scene.now)
@@ -275,7 +281,7 @@
     assert (c.applied_versions.known["a"].acting_version, c.rows()[0]["why"]) == (1, "")
 
 
-def test_it_serves_from_what_was_kept_with_no_control_process(scene: Scene) -> None:
+def test_starts_from_stored_settings_without_a_control_process(scene: Scene) -> None:
     c = scene.control("c")
     scene.commit(("a", b"1"))
     kept = StoredSettings(c.store.copy())
@@ -286,7 +292,7 @@
 
 
 def test_versions_never_go_back(scene: Scene) -> None:
-    """A control process with an old disk has less than the ingress."""
+    """A control process with an old disk has an older version than the ingress."""
     scene.control("c")
     for n in range(5):
         scene.commit(("a", b"%d" % n))
@@ -303,8 +309,8 @@
     assert old.counts["wholes"] == 0
 
 
-def test_one_with_other_objects_under_a_number_than_the_log_is_mended(scene: Scene) -> None:
-    """Nothing in this fleet makes such, but a disk that was put in from elsewhere may be such."""
+def test_store_with_other_objects_than_the_log_is_repaired(scene: Scene) -> None:
+    """Guards against a disk that was moved from another fleet."""
     c = scene.control("c")
     for n in range(3):
         scene.commit(("a", b"%d" % n))
@@ -318,7 +324,7 @@
     assert i.core.store.get(("partner", "b")) is None
 
 
-def test_what_it_says_costs_little(scene: Scene) -> None:
+def test_reports_cost_few_bytes(scene: Scene) -> None:
     c = scene.control("c")
     i = scene.ingress()
     scene.run(5_000)
@@ -328,27 +334,27 @@
     assert (i.core.counts["watches"], at) == (watched, scene.now - 60_000)
 
 
-def test_pieces_twice_are_taken_once_and_one_too_early_begins_anew(scene: Scene) -> None:
+def test_repeated_chunk_is_taken_once_and_a_chunk_too_early_starts_again(scene: Scene) -> None:
     c = scene.control("c")
     scene.commit(*((f"p{n}", random.Random(n).randbytes(200)) for n in range(1_000)))
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
 
     def collect(data: bytes) -> bytes | None:
-        pieces.append(data) if b"rollout.mend" in data else None
+        chunks.append(data) if b"rollout.mend" in data else None
         return None if b"rollout.mend" in data else data
 
     scene.changed = collect
     i = scene.ingress()
     scene.run(1)
-    assert len(pieces) > 4
-    for data in (pieces[0], pieces[1], pieces[1], pieces[0]):
+    assert len(chunks) > 4
+    for data in (chunks[0], chunks[1], chunks[1], chunks[0]):
         i.core.received(scene.now, 1, data)
-    assert i.core.chunks_received == 1  # the first one begins anew
-    for data in [pieces[1], pieces[1], *pieces[2:]]:
+    assert i.core.chunks_received == 1  # the first chunk starts again
+    for data in [chunks[1], chunks[1], *chunks[2:]]:
         i.core.received(scene.now, 1, data)
     assert i.core.buffer.digest() == c.store.digest()
     late = scene.ingress("late")
     scene.run(1)
-    late.core.received(scene.now, 1, pieces[0])
-    late.core.received(scene.now, 1, pieces[2])
+    late.core.received(scene.now, 1, chunks[0])
+    late.core.received(scene.now, 1, chunks[2])
     assert (late.core.repair_delta, late.core.buffer.version) == (None, 0)
