--- a/rushweir/pending_requests.py
+++ b/rushweir/pending_requests.py
@@ -25,7 +25,7 @@
         self.number = number  # identifies it in messages between gateways
         self.reservation = list[tuple[int, float]]()  # units taken of each partition, once it is sent
         self.within_quota = self.answered = False
-        self.own_ceiling_pays = False  # whether this gateway's own share of the ceiling was charged
+        self.charges_own_ceiling = False  # whether this gateway's own share of the ceiling was charged
         self.owner: int | None = None  # the gateway that was asked, and how often so far
         self.ask_count = 0
         self.attempts: list[tuple[interface.Server, float]] = []  # where each was sent, and when
@@ -34,10 +34,10 @@
 
     def charge_own_ceiling(self) -> bool:
         """Charge the request to the gateway's own share of the ceiling, once and if it has the tokens."""
-        if not self.own_ceiling_pays and self.customer.ceiling_tokens >= self.request.units:
-            self.own_ceiling_pays = True
+        if not self.charges_own_ceiling and self.customer.ceiling_tokens >= self.request.units:
+            self.charges_own_ceiling = True
             self.customer.ceiling_tokens = self.customer.ceiling_tokens - self.request.units
-        return self.own_ceiling_pays
+        return self.charges_own_ceiling
 
     def add_attempt(self, server: ServerRecord, now: float) -> int:
         """Record an attempt and return its number."""
--- a/rushweir/policy/gateway_policy.py
+++ b/rushweir/policy/gateway_policy.py
@@ -146,12 +146,12 @@
             return self.decide(request, customer.open_attempts < own_limit, order)
         request.owner = self.quota.choose_owner(customer, request.ask_count, now)
         # Only the first owner has a share of the ceiling to charge.
-        can_pay = request.own_ceiling_pays or request.owner == customer.owners[0]
+        can_pay = request.charges_own_ceiling or request.owner == customer.owners[0]
         request.owner = request.owner if can_pay else None
         request.ask_count += 1
         if request.owner == self.settings.gateway:
             asker = (self.settings.gateway, request.number)
-            flags = customer.take_question_flags(request.own_ceiling_pays)
+            flags = customer.take_question_flags(request.charges_own_ceiling)
             admitted = self.quota.decide_as_owner(customer.key, customer.plan, units, now, asker, flags)
             return self.decide(request, admitted, order)
         if self.quota.admits_unasked(request, now):
@@ -198,17 +198,17 @@
             return self.send_attempt(pending, server)
         if admitted:
             self.quota.settle(pending, -request.units, True)
-        customer.ceiling_tokens += request.units * pending.own_ceiling_pays
+        customer.ceiling_tokens += request.units * pending.charges_own_ceiling
         self.finish(pending)
         if server is not None and order is None:
             return [self.refusal(request, "room", self.capacity.estimate_wait_ms(request.class_name, request.units))]
-        if server or not pending.own_ceiling_pays:
+        if server or not pending.charges_own_ceiling:
             reason = "ceiling"
         elif admitted or self.admits_over_quota(customer):
             reason = "no_node"
         else:
             reason = "quota"
-        wait_ms = self.quota.estimate_wait_ms(customer, request.units, not pending.own_ceiling_pays)
+        wait_ms = self.quota.estimate_wait_ms(customer, request.units, not pending.charges_own_ceiling)
         return [self.refusal(request, reason, wait_ms)]
 
     def admits_over_quota(self, customer: Customer) -> bool:
@@ -237,7 +237,7 @@
         self.capacity.mean_units += LENGTH_ALPHA * (request.units - self.capacity.mean_units)
         over_ceiling = customer.ceiling_tokens < request.units and not self.quota.owner_ceiling_share(customer.plan)
         if over_ceiling or (
-            self.quota.is_hopeless(customer, request.units, now) and not self.admits_over_quota(customer)
+            self.quota.should_skip_asking(customer, request.units, now) and not self.admits_over_quota(customer)
         ):
             customer.unasked_demand += request.units
             reason = "ceiling" if over_ceiling else "quota"
--- a/rushweir/policy/quota.py
+++ b/rushweir/policy/quota.py
@@ -11,7 +11,7 @@
 from rushweir.policy.time_constants import MEMORY_MS, REPORT_LIFETIME_MS
 from rushweir.token_buckets import Customer, LeasedShare, TokenBucket
 
-OWNER_ORDER = (0, 0, 1)  # the owners that are asked in turn, by rank
+OWNER_ORDER = (0, 0, 1)  # rank of the owner to ask on the 1st, 2nd and 3rd try
 MESSAGE_BURST = 15.0  # messages that may be sent at once: those of 1/4 s
 MAX_ENTRIES_PER_MESSAGE = 15  # they fill 256 bytes
 MESSAGES_FOR_ANSWERS = 5.0  # questions leave so many messages for answers
@@ -22,13 +22,16 @@
 SURPLUS_BURSTS = 1.5  # a counter that has fallen so many bursts behind a full bucket is corrected
 OVERSAMPLING = 1.2  # requests that still ask while the bucket is low, in multiples of the granted share
 LOW_SHARE = 0.5  # of the burst: a bucket below it is low
-OWNER_CEILING_SHARE = 1 / 3  # of a ceiling; the rest, in equal shares, must do while gateways hear nothing
+# Of a ceiling; the rest is split equally among the gateways and is all they have while the owner can't be reached.
+OWNER_CEILING_SHARE = 1 / 3
 COUNTER_EPOCH_MS = 60000.0  # a counter's name changes with each epoch, which bounds its drift
 CUSTOMER_IDLE_MS = 30000.0  # idle customers are forgotten after this time
-# Kind, plan, customer, units or tokens, flags (ASK, SETTLE) or granted share, and request number.
+# Kind, plan, customer, units, flags, request number. ASK: units of the request, flags of ``take_question_flags``.
+# SETTLE: units to charge (negative: return); flags 1 or 2 if an attempt ended, 2 if it was charged to the owner's
+# ceiling. ADMITTED, REFUSED: tokens in the owner's bucket, granted share in 1/255.
 ENTRY_FORMAT = Struct(">BBIfBH")
 ASK, SETTLE, ADMITTED, REFUSED = 0, 1, 2, 3  # kinds of entries
-COUNTER = -1  # stands for an owner whose usage is reported later: to the counter, or with the next question
+COUNTER = -1  # in place of an owner: usage is reported later, to the counter or, without one, with the next question
 
 
 class Quota:
@@ -90,7 +93,7 @@
         bucket = self.owned_buckets.get(key)
         if event.as_owner:
             if bucket is not None:
-                bucket.fill_ceiling(*lease.owner_share, now)
+                bucket.refill_ceiling(*lease.owner_share, now)
                 bucket.ceiling_tokens = min(bucket.ceiling_tokens, event.burst)
             lease.owner_share = event.rate, event.burst
             lease.updated_at = now
@@ -107,13 +110,14 @@
         return state.gateways_and_owners(key, first_gateway, gateway_count, self.settings, 1 + max(OWNER_ORDER))
 
     def owner_ceiling_share(self, plan: interface.Plan) -> float:
-        """The first owner's share of a ceiling, for gateways whose equal share is spent; idle if it's not reached."""
+        """The first owner's share of a ceiling, for gateways whose equal share is spent; unused
+        while the owner can't be reached."""
         return OWNER_CEILING_SHARE if plan.ceiling_rate and self.sharing.peers and not self.sharing.counter else 0.0
 
     def owner_charged_ceiling(self, request: PendingRequest) -> bool:
         """Whether the owner that admitted a request charged its share of the ceiling, which only the first has."""
         return (
-            not request.own_ceiling_pays
+            not request.charges_own_ceiling
             and request.owner is not None
             and request.owner == request.customer.owners[0]
             and self.owner_ceiling_share(request.customer.plan) > 0
@@ -156,10 +160,9 @@
         least_messages = MESSAGES_FOR_ANSWERS * (1 if known else 2)
         return owner if owner == this_gateway or self.outbox.available_messages(now) >= least_messages else None
 
-    def is_hopeless(self, customer: Customer, units: float, now: float) -> bool:
-        """Whether asking is hopeless: a fresh report has too few tokens, or the bucket is low and the request is
-        sampled out. All gateways draw on a low bucket; when messages were lost to overload, all asked again and lost
-        more."""
+    def should_skip_asking(self, customer: Customer, units: float, now: float) -> bool:
+        """Whether a fresh report has too few tokens, or the bucket is low and the request is sampled out. All
+        gateways draw on a low bucket; when messages were lost to overload, all asked again and lost more."""
         is_low = customer.is_low(LOW_SHARE, now - MEMORY_MS)
         is_sampled_out = is_low and self.rng.random() > OVERSAMPLING * customer.granted_share
         is_fresh = now - customer.reported_at < REPORT_LIFETIME_MS
@@ -168,25 +171,25 @@
     def decide_by_equal_share(self, request: PendingRequest, now: float) -> bool:
         """Whether to admit a request without an owner's answer.
 
-        If it was not asked about for lack of messages, the last granted share decides, once; if nobody answered, the
-        equal share does. What is admitted is reported later, twice if the question arrived and its answer did not.
+        If it could not be asked about because messages ran out, it is sampled by the last granted share; otherwise
+        the equal share decides. What is admitted is reported later, twice if the question arrived but no answer did.
         """
         customer = request.customer
         units = request.request.units
-        asked = self.sharing.counter or request.ask_count > 1 or not self.sharing.peers
-        fresh = not asked or now - customer.reported_at < REPORT_LIFETIME_MS
+        use_equal_share = self.sharing.counter or request.ask_count > 1 or not self.sharing.peers
+        report_decides = not use_equal_share or now - customer.reported_at < REPORT_LIFETIME_MS
         admitted = (
-            customer.bucket.tokens >= units * fresh and customer.bucket.tokens > 0
+            customer.bucket.tokens >= units * report_decides and customer.bucket.tokens > 0
             if customer.plan.rate
             else not customer.open_attempts
         )
-        # The share was applied already, by is_hopeless, if the bucket was low.
-        is_sampled = asked or not customer.plan.rate or customer.is_low(LOW_SHARE, now - MEMORY_MS)
-        admitted = admitted and (is_sampled or self.rng.random() <= customer.granted_share)
-        customer.unasked_demand += units * (not asked and not admitted)
-        request.owner = COUNTER if admitted and (fresh or not self.sharing.counter) else None
+        # The share was applied already, by should_skip_asking, if the bucket was low.
+        skip_sampling = use_equal_share or not customer.plan.rate or customer.is_low(LOW_SHARE, now - MEMORY_MS)
+        admitted = admitted and (skip_sampling or self.rng.random() <= customer.granted_share)
+        customer.unasked_demand += units * (not use_equal_share and not admitted)
+        request.owner = COUNTER if admitted and (report_decides or not self.sharing.counter) else None
         self.add_unreported(customer, units * (request.owner == COUNTER))
-        customer.bucket.tokens -= units * admitted * (1 if fresh else customer.gateway_count)
+        customer.bucket.tokens -= units * admitted * (1 if report_decides else customer.gateway_count)
         return admitted
 
     def decide_as_owner(
@@ -210,7 +213,7 @@
             if not self.sharing.leased_ceilings
             else (0.0, 0.0)
         )
-        bucket.fill_ceiling(*(lease.owner_share if lease is not None else ceiling), now)
+        bucket.refill_ceiling(*(lease.owner_share if lease is not None else ceiling), now)
         in_flight = bucket.count_in_flight(now - REPORT_LIFETIME_MS)
         if asker in bucket.in_flight:
             return True
@@ -228,7 +231,7 @@
         return admitted
 
     def estimate_wait_ms(self, customer: Customer, units: float, own_ceiling: bool = False) -> float:
-        """When the owner's bucket or the gateway's own share of the ceiling will have the tokens that it lacks."""
+        """In how many milliseconds the owner's bucket and the own share of the ceiling have the tokens they lack."""
         bucket = self.owned_buckets.get(customer.key, customer.bucket)
         owner_share = self.owner_ceiling_share(customer.plan)
         quota_wait_ms = customer.quota_wait_ms(bucket, units)
@@ -245,12 +248,12 @@
                 extra_units,
                 (self.settings.gateway, request.number) if ended else None,
                 customer.plan.burst,
-                not request.own_ceiling_pays,
+                not request.charges_own_ceiling,
             )
         elif request.owner == COUNTER:
             self.add_unreported(customer, extra_units)
         elif request.owner is not None and (extra_units or (ended and customer.plan.max_in_flight)):
-            flags = ended * (1 if request.own_ceiling_pays else 2)
+            flags = ended * (1 if request.charges_own_ceiling else 2)
             entry = (SETTLE, customer.plan_index, customer.key, extra_units, flags, request.number)
             self.outbox.enqueue(request.owner, entry, repeated=ended and customer.plan.max_in_flight > 0)
 
@@ -264,8 +267,8 @@
         """Whether a request is admitted without a question, and reported later.
 
         So it is where the plan has a ceiling only, or where the gateway's equal share of the bucket that its first
-        owner reported covers the request. A report counts for as long as the owner needs to answer all gateways with
-        half of its messages; that much later it sees other demand.
+        owner reported covers the request. A report is valid for the time the owner needs to answer every gateway once
+        with half of its message rate; so long does another gateway's demand stay unseen.
         """
         customer = request.customer
         plan = request.customer.plan
@@ -280,7 +283,7 @@
             and customer.reported_by == customer.owners[0]
         )
         if (
-            not request.own_ceiling_pays
+            not request.charges_own_ceiling
             or plan.max_in_flight
             or self.sharing.counter
             or (plan.rate and not is_covered)
@@ -295,9 +298,9 @@
         """Ask the request's owner, with the usage that is not reported yet, and hold the request."""
         customer = request.customer
         self.held_requests[request.number] = request
-        if units := customer.report_usage(request.owner, request.ask_count > 1):
+        if units := customer.usage_to_report(request.owner, request.ask_count > 1):
             self.outbox.enqueue(request.owner, (SETTLE, customer.plan_index, customer.key, units, 0, 0))
-        flags = customer.take_question_flags(request.own_ceiling_pays)
+        flags = customer.take_question_flags(request.charges_own_ceiling)
         entry = (ASK, customer.plan_index, customer.key, request.request.units, flags, request.number)
         self.outbox.enqueue(request.owner, entry)
 
@@ -338,10 +341,7 @@
     def handle_message(
         self, event: interface.PeerMessage | interface.Counted, now: float
     ) -> list[tuple[PendingRequest, bool | None]]:
-        """The held requests that a peer's message or the counter decides; questions to this owner are answered.
-
-        An answer has the bucket's tokens and the share of the demand that the quota covers.
-        """
+        """The held requests that a peer's message or the counter decides; questions to this owner are answered."""
         if isinstance(event, interface.Counted):
             return self.handle_count(event, now)
         decided = []
--- a/rushweir/token_buckets.py
+++ b/rushweir/token_buckets.py
@@ -29,7 +29,7 @@
         self.tokens = refilled_tokens(self.tokens, rate, burst, now - self.refilled_at)
         self.refilled_at = now
 
-    def fill_ceiling(self, rate: float, burst: float, now: float) -> None:
+    def refill_ceiling(self, rate: float, burst: float, now: float) -> None:
         """Refill the tokens of the owner's share of the ceiling up to now."""
         self.ceiling_tokens = refilled_tokens(self.ceiling_tokens, rate, burst, now - self.ceiling_refilled_at)
         self.ceiling_refilled_at = now
@@ -41,20 +41,20 @@
         return len(self.in_flight)
 
     def settle(
-        self, extra_units: float, ended: tuple[int, int] | None, burst: float, ceiling_charged: bool = False
+        self, extra_units: float, ended_attempt: tuple[int, int] | None, burst: float, ceiling_charged: bool = False
     ) -> None:
         """Charge units beyond those charged at admission; negative ones are returned.
 
-        ``ended`` names the request, by gateway and number, if it has ended. A repeated report of an end, or one of a
-        forgotten request, changes nothing. ``ceiling_charged``: the owner's share of the ceiling was charged.
+        ``ended_attempt`` names the request, by gateway and number, if it has ended. A repeated report of an end, or
+        one of a forgotten request, changes nothing. ``ceiling_charged``: the owner's ceiling share was charged.
         """
-        if ended is not None and ended not in self.in_flight:
+        if ended_attempt is not None and ended_attempt not in self.in_flight:
             return
         self.tokens = min(burst, self.tokens - extra_units)
-        if ended is not None:
+        if ended_attempt is not None:
             # Ceiling tokens return only for a request that was never sent; those of an overestimate stay spent.
             self.ceiling_tokens -= extra_units * ceiling_charged
-            del self.in_flight[ended]
+            del self.in_flight[ended_attempt]
 
 
 class LeasedShare:
@@ -100,11 +100,14 @@
         self.granted_share = 1.0  # share of the demand that the quota covers, by the last report
         self.ceiling_tokens = 0.0 if plan.ceiling_rate else math.inf
         self.reported_by: int | None = None  # the gateway that sent the last report
-        self.gateway_range = 0, 1  # its first gateway, and how many from it on
+        self.gateway_range = 0, 1  # (first gateway, gateway count)
         self.leased_share: LeasedShare | None = None  # where ceilings are leased
 
     def refill(self, gateways_share: float, now: float) -> None:
-        """Refill the bucket, and of the ceiling the leased share or an equal share of ``gateways_share``."""
+        """Refill the bucket and this gateway's part of the ceiling.
+
+        That is its leased share if there is one, else ``gateways_share`` / ``gateway_count``.
+        """
         plan = self.plan
         self.bucket.refill(plan.rate, plan.burst, now)
         if plan.ceiling_rate and self.leased_share is not None:
@@ -122,12 +125,12 @@
             self.ceiling_refilled_at = now
 
     def quota_wait_ms(self, bucket: TokenBucket, units: float) -> float:
-        """When a bucket will have the tokens that it lacks, at the granted share of the rate."""
+        """In how many milliseconds a bucket has the tokens that it lacks, at the granted share of the rate."""
         missing = max(0.0, units - bucket.tokens)
         return missing * 1000 / (self.plan.rate * self.granted_share + 1e-9) * (self.plan.rate > 0)
 
     def ceiling_wait_ms(self, units: float, gateways_share: float) -> float:
-        """When this gateway's share of the ceiling will have the tokens that it lacks."""
+        """In how many milliseconds this gateway's share of the ceiling has the tokens that it lacks."""
         missing = max(0.0, units - self.ceiling_tokens) * self.gateway_count
         rate = (
             self.leased_share.rate * self.gateway_count
@@ -136,22 +139,22 @@
         )
         return missing * 1000 / rate if missing else 0.0
 
-    def take_question_flags(self, own_ceiling_pays: bool) -> int:
+    def take_question_flags(self, charges_own_ceiling: bool) -> int:
         """The flags of a question to the owner; the unasked demand that they report is cleared.
 
         1 if the owner's share of the ceiling is to be charged, plus 2 for each whole unit of unasked demand, to 127.
         """
         unasked_units = min(127, int(self.unasked_demand))
         self.unasked_demand = 0.0
-        return (not own_ceiling_pays) + 2 * unasked_units
+        return (not charges_own_ceiling) + 2 * unasked_units
 
     def is_low(self, share: float, since: float) -> bool:
         """Whether a report after ``since`` had the bucket below this share of the burst."""
         return self.reported_tokens < share * self.plan.burst and self.reported_at > since
 
-    def report_usage(self, to: int, repeated: bool) -> float:
+    def usage_to_report(self, owner: int, repeated: bool) -> float:
         """Units to report to the first owner with a question; none while the answer to a report may be on its way."""
-        if to != self.owners[0]:
+        if owner != self.owners[0]:
             self.unconfirmed_units = 0.0
         elif self.unconfirmed_units and not repeated:
             return 0.0
@@ -160,7 +163,7 @@
         return self.unconfirmed_units
 
     def confirm_usage(self, source: int) -> bool:
-        """Whether an answer is from the first owner, which then has received the usage reported to it."""
+        """Clear the usage reported to the first owner if the answer is from it; return whether it is."""
         if is_first_owner := source == self.owners[0]:
             self.unreported_units = self.unreported_units - self.unconfirmed_units
             self.unconfirmed_units = 0.0
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -214,7 +214,7 @@
     network.request(gateway, plan="capped", first_gateway=0)
     customer = next(iter(policy.quota.customers.values()))
     (pending,) = policy.quota.held_requests.values()
-    assert pending.own_ceiling_pays and customer.ceiling_tokens < 2 * 20 / 13
+    assert pending.charges_own_ceiling and customer.ceiling_tokens < 2 * 20 / 13
     if refused:
         policy.server_pool.ready_servers = []
     network.run(400.0)  # nobody answers: the equal share decides
