--- a/rushweir/daemon/joining.py
+++ b/rushweir/daemon/joining.py
@@ -12,7 +12,7 @@
 from rushweir.files import replace_file
 from rushweir.fleet import commands
 from rushweir.fleet.core import Fleet
-from rushweir.ingress.membership import BOUNDS, FILE
+from rushweir.ingress.membership import ENTRY_SIZE_LIMITS, FILE
 
 WAIT_MS = 5_000.0  # how often it is said that there is no number yet
 
@@ -26,7 +26,7 @@
     if config.state is not None:
         with contextlib.suppress(FileNotFoundError):
             kept = (config.state / FILE).read_bytes()
-    return Fleet(settings, config.peer_key, seed, now, kept, BOUNDS)
+    return Fleet(settings, config.peer_key, seed, now, kept, ENTRY_SIZE_LIMITS)
 
 
 def bound(address: tuple[str, int]) -> socket.socket:
--- a/rushweir/ingress/engine.py
+++ b/rushweir/ingress/engine.py
@@ -29,7 +29,7 @@
 
 
 class Engine:
-    """Runs the policy of one ingress. The caller carries out ``commands`` in order after each call."""
+    """Runs the policy of one ingress. The core carries out ``commands`` in order after each call."""
 
     def __init__(
         self, settings: interface.Settings, policy: DecisionPolicy, now: float, *,
@@ -116,8 +116,8 @@
         self.now = now
         request_class = self.classes.get(query.class_name)
         self.counts["requests"] += 1
-        deadline = request_class.deadline_ms if request_class else 0.0
-        within = deadline if query.within_ms is None else min(query.within_ms, deadline)
+        max_within_ms = request_class.deadline_ms if request_class else 0.0
+        within = max_within_ms if query.within_ms is None else min(query.within_ms, max_within_ms)
         # The time counts from the request's arrival: it may have waited behind an earlier one of its connection.
         request_deadline = (now if query.arrived_ms is None else query.arrived_ms) + within - self.margin_ms
         # From here on all times are those of this clock; the margin covers the way to the client.
@@ -160,7 +160,7 @@
         self._notify_policy(interface.Gone(entry.request_id))
 
     def wanted(self, attempt: commands.Attempt) -> bool:
-        """Whether a client still waits for an attempt's request."""
+        """Whether an attempt's request is unanswered and its client still connected."""
         entry = self.ledger.entries.get(attempt.request_id)
         return entry is not None and entry.state is not DONE and self.is_connected(entry.conn)
 
@@ -288,9 +288,9 @@
 
     def _report_superseded(self, attempt: commands.Attempt) -> None:
         entry = self.ledger.entries.get(attempt.request_id)
-        settled = entry is None or entry.state is DONE
+        is_done = entry is None or entry.state is DONE
         result = interface.Result.SUPERSEDED
-        outcome = interface.Outcome(attempt.request_id, attempt.number, attempt.node, result, 0.0, settled)
+        outcome = interface.Outcome(attempt.request_id, attempt.number, attempt.node, result, 0.0, is_done)
         self._notify_policy(outcome, entry)
 
     def _refuse(self, action: interface.Refuse) -> None:
@@ -381,8 +381,8 @@
             self.commands.append(commands.ExpireAttempt(attempt))
 
     def _deadline(self, entry: Entry) -> None:
-        """Expire the attempts in flight at the request's deadline, whose outcomes the policy answers; without an
-        answer of the policy the request is answered here. Attempts of a client that left end as well: those to a
+        """Expire the attempts in flight ``ATTEMPT_END_MARGIN_MS`` before the request's deadline: the policy may still
+        answer on their outcomes, otherwise ``_overdue`` does. Attempts of a client that left end as well: those to a
         silent node would hold their capacity."""
         waiting = [a for a in entry.attempts if not a.ended]
         for attempt in waiting:
--- a/rushweir/ingress/membership.py
+++ b/rushweir/ingress/membership.py
@@ -30,7 +30,7 @@
 # The own load is reported at this interval, and less often in a large fleet: each member receives all reports.
 MIN_PUBLISH_INTERVAL_MS, MAX_REPORTS_PER_S = 2_000.0, 30.0
 MAX_BUDGET_ROWS = 50  # in the status for operators
-BOUNDS = {LOAD: LOAD_BYTES}
+ENTRY_SIZE_LIMITS = {LOAD: LOAD_BYTES}
 
 
 class Membership:
@@ -39,16 +39,16 @@
     def __init__(
         self,
         fleet: Fleet,
-        number: int,
+        slot: int,
         assigned: bool,
         lease_ms: float,
         minimum_share: float,
         log_shares: bool = False,
     ) -> None:
-        """``number``: that of the ingress; ``assigned``: whether the fleet gave it, rather than the settings;
+        """``slot``: that of the ingress; ``assigned``: whether the fleet gave it, rather than the settings;
         ``lease_ms`` and ``minimum_share``: those of shared ceilings; ``log_shares``: log each change of a share."""
         self.fleet = fleet
-        self.number = number
+        self.slot = slot
         self.assigned = assigned
         self.minimum_share = minimum_share
         self.log_shares = log_shares
@@ -105,8 +105,9 @@
         """Record the demand of a request, before it is decided on."""
         plan = self.ceilings.get(partner.plan)
         if plan is not None:
+            # 0: all slots
             count = 0 if partner.gateway_count >= self.fleet.settings.slot_count else partner.gateway_count
-            # A plan between two versions of the settings has no leases: each gateway owns its share.
+            # While settings change, such a plan's ceiling is not leased: each gateway owns its share.
             minimum_share = 1.0 if plan.name.startswith(CLOSED) else self.minimum_share
             total = BudgetTotal.from_units(
                 plan.ceiling_rate, plan.ceiling_burst, minimum_share, partner.first_gateway if count else 0, count
@@ -152,16 +153,18 @@
 
     def _update_peer_addresses(self, core: Core) -> None:
         slots = self.fleet.view.slots
-        core.commands.append(commands.SetPeerAddresses({n: s.address for n, s in slots.items() if n != self.number}))
+        core.commands.append(commands.SetPeerAddresses({n: s.address for n, s in slots.items() if n != self.slot}))
 
     def _check_slot(self, core: Core) -> None:
         """End the process if it has lost its slot, and publish its load."""
         self.fleet.now = core.now
-        if not self.fleet.leaving and self.assigned and self.fleet.slot() != self.number and not self.ended:
+        if not self.fleet.leaving and self.assigned and self.fleet.slot() != self.slot and not self.ended:
             # Another process may have the slot by now, and both would spend its shares.
             self.ended = True
-            core.log_event(commands.LogEvent("error", "number_lost", {"number": self.number}))
-            core.commands.append(commands.EndProcess(f"number {self.number} may belong to another process now"))
+            core.log_event(commands.LogEvent("error", "number_lost", {"number": self.slot}))
+            core.commands.append(
+                commands.EndProcess(f"slot {self.slot} may belong to another process now; restart to join again")
+            )
         interval_ms = max(MIN_PUBLISH_INTERVAL_MS, self.fleet.members.count() / MAX_REPORTS_PER_S * 1000)
         if core.now - self.published_at >= interval_ms and not self.fleet.leaving:
             self.published_at = core.now
@@ -211,7 +214,7 @@
 
 
 def _bucket_state(core: Core, name: str) -> tuple[int, int]:
-    """Of the policy's token bucket for a leased share: all tokens that overflowed, and those it can still take."""
+    """Returns (tokens overflowed in all, free capacity) of the customer's ceiling bucket, in 1/UNIT."""
     quota, key = getattr(core.engine.policy, "quota", None), crc32(name.encode())
     if quota is None or (share := quota.leased_shares.get(key)) is None:
         return 0, 0
