--- a/rushweir/edge/backend_links.py
+++ b/rushweir/edge/backend_links.py
@@ -43,13 +43,23 @@
 class Link:
     """One connection to a backend."""
 
-    __slots__ = ("backend", "conn", "endpoint", "idle_since", "job", "reader", "cooldown_until", "state", "unsent")
+    __slots__ = (
+        "backend",
+        "conn",
+        "endpoint",
+        "idle_since",
+        "job",
+        "reader",
+        "cooldown_until",
+        "state",
+        "has_unsent_bytes",
+    )
 
     def __init__(self, conn: int, backend: Backend, now: float) -> None:
         self.conn, self.backend, self.state, self.idle_since = conn, backend, DIALING, now
         self.endpoint, self.cooldown_until = backend.endpoint, now
         self.job: commands.Attempt | Probe | None = None
-        self.unsent = False  # bytes of the request are still in this process
+        self.has_unsent_bytes = False  # bytes of the request are still in this process
         self.reader = AnswerReader()
 
 
--- a/rushweir/edge/backends.py
+++ b/rushweir/edge/backends.py
@@ -8,8 +8,8 @@
                           +----write----->
 
 After an answer a connection is not reused for ``COOLDOWN_MS``: a duplicate of the answer may arrive some milliseconds
-late, and nothing in HTTP/1.1 says which request an answer belongs to. Connections and dials belong to the address and
-the start of a backend: once it moved or restarted they carry no new request, and the module decides again about the
+late, and nothing in HTTP/1.1 says which request an answer belongs to. Connections and dials belong to one address and
+start time of a backend: once it moved or restarted they carry no new request, and the policy decides again about the
 attempts that waited.
 
 Observations and the results that they prove (the platform's table):
@@ -73,7 +73,7 @@
         self._assign(probe)
         self.at(now + self.settings.probe_timeout_ms, self._probe_timed_out, probe)
 
-    def notified(self, now: float, servers: dict[str, interface.State]) -> None:
+    def apply_list(self, now: float, servers: dict[str, interface.State]) -> None:
         """Takes over the current list. Nothing more is written to a backend that is not ready."""
         self.now = now
         for name, state in servers.items():
@@ -87,13 +87,13 @@
                 # It restarted or moved: open connections and dials lead to its former address or start, for which the
                 # waiting attempts were meant too. A busy connection is closed after its answer.
                 backend.endpoint = endpoint
-                self._drop_unsent(backend)
+                self._drop_waiting_and_idle(backend)
             backend.ready = state is interface.State.READY
         for name, backend in list(self.backends.items()):
             if name not in servers:
                 backend.ready = False
             if not backend.ready:
-                self._drop_unsent(backend)
+                self._drop_waiting_and_idle(backend)
                 self._forget_if_unused(backend)
         if not self.checking_idle and self.backends:
             self.checking_idle = True
@@ -144,10 +144,10 @@
             return
         if answer is None:
             return
-        last = not answer.keep or link.reader.unmatched or link.unsent
+        must_close = not answer.keep or link.reader.unmatched or link.has_unsent_bytes
         self.counts["strays"] += link.reader.unmatched
         self._end_on_link(link, _result(answer), answer)
-        if last:
+        if must_close:
             self._abort(link)
         else:
             link.cooldown_until = now + COOLDOWN_MS
@@ -158,19 +158,21 @@
         self.now = now
         if (link := self.links.get(conn)) is not None:
             if link.job is not None:
-                self._end_on_link(link, interface.Result.CONNECT_FAILED if link.unsent else interface.Result.RESET)
+                self._end_on_link(
+                    link, interface.Result.CONNECT_FAILED if link.has_unsent_bytes else interface.Result.RESET
+                )
             self._remove(link)
 
     def congested(self, conn: int) -> None:
         """Bytes written to the connection wait in this process."""
         if (link := self.links.get(conn)) is not None:
-            link.unsent = True
+            link.has_unsent_bytes = True
 
     def drained(self, now: float, conn: int) -> None:
         """All bytes written to the connection have left this process."""
         self.now = now
         if (link := self.links.get(conn)) is not None:
-            link.unsent = False
+            link.has_unsent_bytes = False
 
     def close_all(self, now: float) -> None:
         """Cancels all attempts and cuts all connections."""
@@ -180,7 +182,7 @@
                 self._end_on_link(link, interface.Result.CANCELLED)
             self._abort(link)
         for backend in self.backends.values():
-            self._drop_unsent(backend)
+            self._drop_waiting_and_idle(backend)
 
     # --- internals -------------------------------------------------------------------------------
 
@@ -258,7 +260,7 @@
 
     def _write(self, link: Link, job: commands.Attempt | Probe) -> None:
         self.job_places[id(job)] = link
-        link.state, link.job, link.unsent = BUSY, job, False
+        link.state, link.job, link.has_unsent_bytes = BUSY, job, False
         link.reader.expect()
         if isinstance(job, Probe):
             settings = self.settings
@@ -272,18 +274,20 @@
             )
         self.out.append(commands.Write(link.conn, data))
 
-    def _give_up(self, job: commands.Attempt | Probe, result: interface.Result) -> None:
+    def _abandon(self, job: commands.Attempt | Probe, result: interface.Result) -> None:
+        """Ends a job before its answer, with SUPERSEDED while it waits, with CONNECT_FAILED if it was not written to
+        the end, else with ``result``. Its connection is cut."""
         place = self.job_places.get(id(job))
         if isinstance(place, Backend):
             place.waiting.remove(job)
             self._end(job, interface.Result.SUPERSEDED)
         elif place is not None:
-            self._end_on_link(place, interface.Result.CONNECT_FAILED if place.unsent else result)
+            self._end_on_link(place, interface.Result.CONNECT_FAILED if place.has_unsent_bytes else result)
             self._abort(place)
 
-    def _held_back(self, attempt: commands.Attempt) -> bool:
+    def _is_unsent(self, attempt: commands.Attempt) -> bool:
         place = self.job_places.get(id(attempt))
-        return isinstance(place, Backend) or (place is not None and place.unsent)
+        return isinstance(place, Backend) or (place is not None and place.has_unsent_bytes)
 
     def _end_on_link(self, link: Link, result: interface.Result, answer: Message | None = None) -> None:
         job, link.job = link.job, None
@@ -297,12 +301,12 @@
         elif answer is None:
             self.ended.append(commands.AttemptEnded(job, result))
         else:
-            self.ended.append(commands.AttemptEnded(job, result, answer.body, _used(answer), load=load))
+            self.ended.append(commands.AttemptEnded(job, result, answer.body, _quota_used(answer), load=load))
 
     def _probe_timed_out(self, probe: Probe) -> None:
-        self._give_up(probe, interface.Result.TIMEOUT)  # no effect if it ended
+        self._abandon(probe, interface.Result.TIMEOUT)  # no effect if it ended
 
-    def _drop_unsent(self, backend: Backend) -> None:
+    def _drop_waiting_and_idle(self, backend: Backend) -> None:
         """Ends waiting jobs, which were never sent, and cuts connections that carry no request."""
         while backend.waiting:
             self._end(backend.waiting.popleft(), interface.Result.SUPERSEDED)
@@ -348,8 +352,8 @@
     return interface.Result.FULL if declined else interface.Result.ERROR
 
 
-def _used(answer: Message) -> int:
-    """Returns the reported meter percentage plus 1, as the module counts it; 0 if it is missing or invalid."""
+def _quota_used(answer: Message) -> int:
+    """Returns the reported meter percentage plus 1, as the policy expects it; 0 means missing or invalid."""
     text = answer.headers.get(b"x-meter", b"")
     return int(text) + 1 if text.isdigit() and len(text) < 7 else 0
 
--- a/rushweir/ingress/known_nodes.py
+++ b/rushweir/ingress/known_nodes.py
@@ -57,7 +57,7 @@
         )
         self.core.engine.members(self.core.now, update.scope, servers)
         self.effective = apply_update(self.effective, Update(update.scope, update.version, servers))
-        self.core.pool.notified(self.core.now, {a: s.state for a, s in self.effective.items()})
+        self.core.pool.apply_list(self.core.now, {a: s.state for a, s in self.effective.items()})
         self.core.telemetry.set_nodes(self.effective)
 
     def _save(self) -> None:
--- a/rushweir/ingress/pool.py
+++ b/rushweir/ingress/pool.py
@@ -26,23 +26,23 @@
     def cancel(self, now: float, attempt: commands.Attempt) -> None:
         """Stop waiting for an attempt. Its node may go on working on it."""
         self.now = now
-        self._give_up(attempt, interface.Result.CANCELLED)
+        self._abandon(attempt, interface.Result.CANCELLED)
 
     def withdraw(self, now: float, attempt: commands.Attempt) -> None:
         """Drop an attempt that no client waits for, unless it is sent: then its node may be working on it, and its
         connection serves other attempts."""
         self.now = now
-        if self._held_back(attempt):
-            self._give_up(attempt, interface.Result.CANCELLED)
+        if self._is_unsent(attempt):
+            self._abandon(attempt, interface.Result.CANCELLED)
 
-    def _held_back(self, attempt: commands.Attempt) -> bool:
+    def _is_unsent(self, attempt: commands.Attempt) -> bool:
         """Whether an attempt is not completely sent yet."""
         raise NotImplementedError
 
     def expire(self, now: float, attempt: commands.Attempt) -> None:
         """End an attempt whose deadline has passed."""
         self.now = now
-        self._give_up(attempt, interface.Result.TIMEOUT)
+        self._abandon(attempt, interface.Result.TIMEOUT)
 
-    def _give_up(self, attempt: commands.Attempt, result: interface.Result) -> None:
+    def _abandon(self, attempt: commands.Attempt, result: interface.Result) -> None:
         raise NotImplementedError
--- a/rushweir/lab/scale/parts.py
+++ b/rushweir/lab/scale/parts.py
@@ -79,18 +79,18 @@
             lost = self.rng.random() < LOST
             self.ended.append(c.AttemptEnded(attempt, i.Result.RESET if lost else i.Result.OK, None if lost else {}))
 
-    def _give_up(self, attempt: c.Attempt, result: i.Result) -> None:
+    def _abandon(self, attempt: c.Attempt, result: i.Result) -> None:
         if self.open.pop(id(attempt), None) is not None:
             self.ended.append(c.AttemptEnded(attempt, result))
 
-    def _held_back(self, attempt: c.Attempt) -> bool:
+    def _is_unsent(self, attempt: c.Attempt) -> bool:
         return False
 
     def probe(self, now: float, server: str) -> None:
         self.now = now
         self.ended.append(c.ProbeEnded(server, i.Result.OK, 1.0))
 
-    def notified(self, now: float, servers: dict[str, i.State]) -> None:
+    def apply_list(self, now: float, servers: dict[str, i.State]) -> None:
         self.now = now
 
     def close_all(self, now: float) -> None:
--- a/rushweir/lab/scale/pure_pool.py
+++ b/rushweir/lab/scale/pure_pool.py
@@ -77,7 +77,9 @@
     held, made = used(size)[0], empty()
     opened(made, listed[:held])
     states = {s.address: s.state for s in listed}
-    yield Sample(role, "told_of_a_change_cpu", "ms", by, size, cpu(lambda: made.notified(1.0, states)) * 1e3, "core")
+    yield Sample(
+        role, "told_of_a_change_cpu", "ms", by, size, cpu(lambda: made.apply_list(1.0, states)) * 1e3, "core"
+    )
 
     def sent() -> None:
         for k in range(ATTEMPTS):
--- a/rushweir/nodes/pool.py
+++ b/rushweir/nodes/pool.py
@@ -29,6 +29,9 @@
 MAX_ABANDONED = 2048  # ids that a connection remembers of attempts given up, to recognise late answers
 CANCEL = "rpc.cancel"  # a notification: names that begin with "rpc." are for extensions (JSON-RPC 2.0, 8)
 PROBE = "rpc.probe"
+CLOSE_WRITE_TIMEOUT_MS = 100.0  # for the last bytes to a connection that is being closed
+CLOSING_HANDSHAKE_TIMEOUT_MS = 1000.0  # then an idle connection is aborted
+NODE_FORGET_MS = 60_000.0  # a node that is not ready or not listed is forgotten after this time
 
 
 class Pool(BasePool):
@@ -57,7 +60,7 @@
         if node is None:
             self._end_attempt(attempt, interface.Result.CONNECT_FAILED)
             return
-        if self._is_cut_off(node):
+        if self._is_past_grace(node):
             self.counts["cut_off"] += 1
             self._end_attempt(attempt, interface.Result.SUPERSEDED)
             return
@@ -87,7 +90,7 @@
         self._flush(link)
         self.at(now + self.settings.probe_timeout_ms, self._on_probe_timeout, (link, link.last_id))
 
-    def notified(self, now: float, states: dict[str, interface.State]) -> None:
+    def apply_list(self, now: float, states: dict[str, interface.State]) -> None:
         """Takes the current list, as states by address: after the grace time nothing is written to a node that is not
         ready or not listed."""
         self.now = now
@@ -170,7 +173,7 @@
             node = self.nodes[address] = Node(address)
         return node
 
-    def _is_cut_off(self, node: Node) -> bool:
+    def _is_past_grace(self, node: Node) -> bool:
         return node.unavailable_since is not None and self.now >= node.unavailable_since + self.settings.grace_ms
 
     def _link_for(self, node: Node) -> Link | None:
@@ -224,11 +227,11 @@
 
     def _write_waiting(self, link: Link) -> None:
         """Writes waiting attempts to the connection, oldest first. From here on an attempt may have run."""
-        cut_off = bool(link.waiting) and self._is_cut_off(link.node)
+        past_grace = bool(link.waiting) and self._is_past_grace(link.node)
         while link.waiting and len(link.streams) < self.settings.streams:
             _, attempt = link.waiting.popitem(last=False)
-            if cut_off or not self.wanted(attempt):
-                self.counts["cut_off"] += cut_off
+            if past_grace or not self.wanted(attempt):
+                self.counts["cut_off"] += past_grace
                 self._end_attempt(attempt, interface.Result.SUPERSEDED)
                 continue
             link.last_id += 1
@@ -278,26 +281,26 @@
         if link.waiting:
             self._write_waiting(link)
 
-    def _give_up(self, attempt: commands.Attempt, result: interface.Result) -> None:
+    def _abandon(self, attempt: commands.Attempt, result: interface.Result) -> None:
         link = self.link_by_attempt.get(id(attempt))
         if link is None:
             return
         if link.waiting.pop(id(attempt), None) is not None:
             self._end_attempt(attempt, interface.Result.SUPERSEDED)  # never written: it never ran
             return
-        number = next(number for number, sent in link.streams.items() if sent is attempt)
-        del link.streams[number]
-        link.abandoned[number] = attempt
+        rpc_id = next(rpc_id for rpc_id, sent in link.streams.items() if sent is attempt)
+        del link.streams[rpc_id]
+        link.abandoned[rpc_id] = attempt
         while len(link.abandoned) > MAX_ABANDONED:
             link.abandoned.popitem(last=False)
         if link.writable:
-            link.messages.send(rpc.call(CANCEL, {"id": number}))
+            link.messages.send(rpc.call(CANCEL, {"id": rpc_id}))
             self._flush(link)
         self._end_attempt(attempt, result)
         if link.waiting and link.state is OPEN and link.writable:
             self._write_waiting(link)
 
-    def _held_back(self, attempt: commands.Attempt) -> bool:
+    def _is_unsent(self, attempt: commands.Attempt) -> bool:
         link = self.link_by_attempt.get(id(attempt))
         return link is not None and id(attempt) in link.waiting
 
@@ -306,14 +309,20 @@
         self.ended.append(commands.AttemptEnded(attempt, result))
 
     def _end_link(self, link: Link, abort: bool = False) -> None:
-        """Ends a connection. Attempts that waited on it never ran; those written to it may have."""
+        """Ends a connection. Attempts that waited on it never ran; those written to it may have.
+
+        ``abort``: without a closing handshake."""
         if link.state is GONE:
             return
         link.state = GONE
         self.links.pop(link.conn, None)
         if link in link.node.links:
             link.node.links.remove(link)
-        self.out.append(commands.AbortConnection(link.conn) if abort else commands.CloseConnection(link.conn, 100.0))
+        self.out.append(
+            commands.AbortConnection(link.conn)
+            if abort
+            else commands.CloseConnection(link.conn, CLOSE_WRITE_TIMEOUT_MS)
+        )
         for attempt in list(link.waiting.values()):
             self._end_attempt(attempt, interface.Result.CONNECT_FAILED)
         for attempt in list(link.streams.values()):
@@ -330,11 +339,11 @@
         if writes:
             self.out.append(commands.Write(link.conn, b"".join(writes) if len(writes) > 1 else writes[0]))
         if end and link.state is not GONE:
-            self.out.append(commands.CloseConnection(link.conn, 100.0))
+            self.out.append(commands.CloseConnection(link.conn, CLOSE_WRITE_TIMEOUT_MS))
 
     def _on_probe_timeout(self, probe: tuple[Link, int]) -> None:
-        link, number = probe
-        if (sent_at := link.probes.pop(number, None)) is not None:
+        link, rpc_id = probe
+        if (sent_at := link.probes.pop(rpc_id, None)) is not None:
             self.ended.append(commands.ProbeEnded(link.node.address, interface.Result.TIMEOUT, self.now - sent_at))
 
     def _check_idle(self, link: Link) -> None:
@@ -348,7 +357,7 @@
             link.state = CLOSING
             link.messages.close(CloseCode.NORMAL_CLOSURE, "idle")
             self._flush(link)
-            self.at(self.now + 1000.0, self._on_close_timeout, link)
+            self.at(self.now + CLOSING_HANDSHAKE_TIMEOUT_MS, self._on_close_timeout, link)
         else:
             self.at(due, self._check_idle, link)
 
@@ -372,9 +381,11 @@
 
     def _remove_gone_nodes(self) -> None:
         """Removes nodes that are gone from the list and have no connection, so that the table stays bounded."""
-        for address in [address for address, node in self.nodes.items() if not node.links and self._is_cut_off(node)]:
+        for address in [
+            address for address, node in self.nodes.items() if not node.links and self._is_past_grace(node)
+        ]:
             # The policy sends no attempts to such an address, since its list no longer has it.
-            if self.nodes[address].unavailable_since + 60_000.0 < self.now:
+            if self.nodes[address].unavailable_since + NODE_FORGET_MS < self.now:
                 del self.nodes[address]
 
     def close_all(self, now: float) -> None:
--- a/tests/edge/test_event_orders.py
+++ b/tests/edge/test_event_orders.py
@@ -32,7 +32,7 @@
 
 def two_attempts(monkeypatch):
     """A cancelled attempt keeps its connection, and its request stays at the backend, for a second."""
-    real = Pool._give_up
+    real = Pool._abandon
 
     def give_up(self, job, result):
         place = self.job_places.get(id(job))
@@ -42,7 +42,7 @@
         else:
             real(self, job, result)
 
-    monkeypatch.setattr(Pool, "_give_up", give_up)
+    monkeypatch.setattr(Pool, "_abandon", give_up)
 
 
 def repeats_all(monkeypatch):
@@ -66,16 +66,16 @@
 
 
 def ignores_drains(monkeypatch):
-    real = Pool.notified
+    real = Pool.apply_list
     ready = interface.State.READY
-    monkeypatch.setattr(Pool, "notified", lambda self, now, servers: real(
+    monkeypatch.setattr(Pool, "apply_list", lambda self, now, servers: real(
         self, now, dict.fromkeys([*servers, *(n for n in self.backends if n in self.listed_endpoints)], ready)
     ))  # fmt: skip
 
 
 def keeps_old_connections(monkeypatch):
     """Connections to a backend from before its restart carry requests afterwards."""
-    monkeypatch.setattr(Pool, "_drop_unsent", lambda self, b: None)
+    monkeypatch.setattr(Pool, "_drop_waiting_and_idle", lambda self, b: None)
     monkeypatch.setattr(Endpoint, "__eq__", lambda a, b: a.host == b.host)
 
 
@@ -88,7 +88,7 @@
 
 
 def sends_for_disconnected_clients(monkeypatch):
-    monkeypatch.setattr(Pool, "_held_back", lambda self, attempt: False)
+    monkeypatch.setattr(Pool, "_is_unsent", lambda self, attempt: False)
     monkeypatch.setattr(Engine, "wanted", lambda self, attempt: True)
 
 
--- a/tests/nodes/test_pool.py
+++ b/tests/nodes/test_pool.py
@@ -240,25 +240,25 @@
 
 def test_nothing_is_written_after_the_drain_grace():
     harness = Harness(grace_ms=1000.0, max_links=1)
-    harness.pool.notified(0.0, {NODE: interface.State.READY})
+    harness.pool.apply_list(0.0, {NODE: interface.State.READY})
     harness.attempt()
     conn = harness.open()
     harness.pool.congested(conn)
     harness.now = 100.0
     harness.attempt()  # waits for the connection
-    harness.pool.notified(100.0, {NODE: interface.State.DRAINING})
-    harness.pool.notified(900.0, {NODE: interface.State.DRAINING})  # reported again: the first time counts
+    harness.pool.apply_list(100.0, {NODE: interface.State.DRAINING})
+    harness.pool.apply_list(900.0, {NODE: interface.State.DRAINING})  # reported again: the first time counts
     harness.pool.drained(1100.0, conn)
     harness.execute()
     assert harness.results() == [interface.Result.SUPERSEDED] and len(harness.calls) == 1
     harness.now = 1200.0
     harness.attempt()
     assert harness.results() == [interface.Result.SUPERSEDED]
-    harness.pool.notified(1300.0, {})  # gone from the list
+    harness.pool.apply_list(1300.0, {})  # gone from the list
     harness.now = 1301.0
     harness.attempt()
     assert harness.results() == [interface.Result.SUPERSEDED]
-    harness.pool.notified(1400.0, {NODE: interface.State.READY})
+    harness.pool.apply_list(1400.0, {NODE: interface.State.READY})
     harness.now = 1400.0
     harness.attempt()
     assert len(harness.calls) == 2
@@ -315,6 +315,6 @@
         attempt = harness.attempt(node=f"10.0.0.{k % 250}:80")
         harness.pool.dial_failed(harness.now, harness.dials[-1].conn)
         assert harness.results() == [interface.Result.CONNECT_FAILED] and attempt
-    harness.pool.notified(1000.0, {})
-    harness.pool.notified(1000.0 + 62_000.0, {})
+    harness.pool.apply_list(1000.0, {})
+    harness.pool.apply_list(1000.0 + 62_000.0, {})
     assert not harness.pool.nodes and not harness.pool.links and not harness.pool.link_by_attempt
