--- a/rushweir/daemon/control_process.py
+++ b/rushweir/daemon/control_process.py
@@ -11,25 +11,24 @@
 import gc
 import secrets
 import signal
-from collections import deque
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from rushweir.config.control import ControlConfig
 from rushweir.daemon.control_disk import Disk
 from rushweir.daemon.control_files import ControlFiles
+from rushweir.daemon.control_sessions import Sessions
 from rushweir.daemon.control_wires import Dials, Served
 from rushweir.daemon.notify import notify
 from rushweir.ingress.shell import calm_collector
 from rushweir.link import rpc
 from rushweir.link.upstream import Upstream
-from rushweir.rollout.change_sets import Change, ChangeSet
+from rushweir.rollout.change_sets import Change
 from rushweir.rollout.commands import (
     Append,
     Committed,
     Compact,
     LogEvent,
-    Objects,
     ProposalAnswered,
     Rewrite,
     Send,
@@ -57,33 +56,6 @@
     return tuple(found)
 
 
-class Sessions(Protocol):
-    """Those that watch: what the control process tells it, and asks of it by ``commands``: each has ``conn`` and
-    ``data`` (send), ``conn`` and ``why`` (close), or ``report`` (for the other control processes)."""
-
-    commands: deque[Any]
-
-    def snapshot_installed(self, now: float, number: int, objects: Objects) -> None: ...
-
-    def committed(self, now: float, step: ChangeSet) -> None: ...
-
-    def set_current(self, now: float, current: bool) -> None: ...
-
-    def opened(self, now: float, conn: int) -> None: ...
-
-    def received(self, now: float, conn: int, text: bytes | str) -> None: ...
-
-    def set_writable(self, now: float, conn: int, writable: bool) -> None: ...
-
-    def closed(self, now: float, conn: int) -> None: ...
-
-    def take_report(self, now: float, told: Any) -> None: ...
-
-    def next_at(self) -> float | None: ...
-
-    def advance(self, now: float) -> None: ...
-
-
 class Line:
     """A connection to another control process, whichever side dialed."""
 
