--- a/rushweir/fleet/core.py
+++ b/rushweir/fleet/core.py
@@ -201,8 +201,8 @@
     # --- views -----------------------------------------------------------------------------------
 
     def other_seeds(self) -> list[Member]:
-        """Returns the other seeds that are alive."""
-        found = [self.members.alive_at(a) for a in self.settings.seeds if a != self.settings.address]
+        """Returns the other seeds that are alive or suspected."""
+        found = [self.members.present_at(a) for a in self.settings.seeds if a != self.settings.address]
         return [member for member in found if member is not None]
 
     def save_file(self, serial: int, data: bytes) -> None:
@@ -229,7 +229,7 @@
             for key in ((VIEW_HEADER, 0), *((SLOT, slot) for slot, _ in changed_slots(self.view, view)))
         ]
         pages = paginate(rows, ROWS_BYTES)
-        others = self.members.alive()
+        others = self.members.present()
         if len(pages) * len(others) <= self.settings.per_s * BROADCAST_BUDGET_S:
             for member in others:
                 for page in pages:
@@ -352,7 +352,7 @@
         """Tells some members that this one has left, so that nobody has to detect it."""
         if self.lease_acceptor is not None:
             self.leader_lease.release()
-        others = self.members.alive()
+        others = self.members.present()
         for member in self.rng.sample(others, min(3, len(others))):
             self.send(frame.ROWS, member.id, [[self.table.row((MEMBER, self.me))]])
         self.left = True
--- a/rushweir/fleet/exchange.py
+++ b/rushweir/fleet/exchange.py
@@ -43,7 +43,9 @@
     def _join(self, _: object) -> None:
         """Sends a JOIN to the seeds that are not known to be alive: at the start and after a long partition."""
         fleet, settings = self.fleet, self.fleet.settings
-        lost = [seed for seed in settings.seeds if seed != settings.address and fleet.members.alive_at(seed) is None]
+        lost = [
+            seed for seed in settings.seeds if seed != settings.address and fleet.members.present_at(seed) is None
+        ]
         few = fleet.members.count() < 2 * len(settings.seeds)
         if not fleet.leaving:
             for address in lost:
@@ -63,9 +65,9 @@
         fleet.send_to(address, frame.JOIN_REPLY, to, [paginate([fleet.table.row(k) for k in keys], ROWS_BYTES)[0]])
 
     def _compare(self, _: object) -> None:
-        alive = self.fleet.members.alive()
-        if alive and self.fleet.may_send() and not self.fleet.leaving:
-            self._send_digest(self.rng.choice(alive).id, False)
+        present = self.fleet.members.present()
+        if present and self.fleet.may_send() and not self.fleet.leaving:
+            self._send_digest(self.rng.choice(present).id, False)
         interval, self.has_new_rows = BUSY_COMPARE_INTERVAL_MS if self.has_new_rows else COMPARE_INTERVAL_MS, False
         self.fleet.call_after(interval * self.rng.uniform(0.8, 1.2), self._compare, None)
 
--- a/rushweir/fleet/members.py
+++ b/rushweir/fleet/members.py
@@ -13,8 +13,8 @@
     DEAD      OBJECTED   ALIVE
     any       GOODBYE    LEFT       (final: the process has ended)
 
-A member that notices that it was itself paused or starved suspects nobody by what it missed meanwhile and gives the
-others more time (``health``). No I/O, no clock.
+A member that notices that it was itself paused or starved suspects nobody for answers it missed meanwhile and
+gives the others more time (``health_penalty``). No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -51,13 +51,14 @@
     (SUSPECT, GOODBYE): LEFT,
     (DEAD, GOODBYE): LEFT,
 }
-MAX_HEALTH = 8  # upper bound of the local health score; higher is worse
+MAX_HEALTH_PENALTY = 8
 # After this share of ``view_ms``, or this time if less, the confirmation that a view is in force counts as stale.
 STALE_VIEW_SHARE, STALE_VIEW_MS = 1 / 4, 1_200.0
 LEADER_PROBES_PER_PERIOD = 6  # of all members together, at most
 # How many recent senders are remembered, and how long a sender counts as recently active.
 RECENT_SENDERS, RECENT_MS = 16, 1_000.0
-CONFIRMED_FAILURES = 2  # in a row: then this process is considered healthy
+CONFIRMED_FAILURES = 2  # failed probes in a row that all helpers confirmed; then this process is considered healthy
+MAX_INDIRECT_PROBES = 64  # relayed for others at a time; each is forgotten after so many further probes
 MAX_ZONE_BYTES = 32  # of a zone's name in an entry
 
 
@@ -105,16 +106,16 @@
         self.pending_probe: tuple[int, int] | None = None  # number and target
         self.serial = 0
         self.indirect_probes: dict[int, tuple[int, int, int]] = {}  # by own probe: the asker, its probe, the target
-        self.health = 0  # local health score; 0: healthy
+        self.health_penalty = 0  # Lifeguard's local health score; 0: healthy, higher is worse
         self.recent_senders: OrderedDict[int, float] = OrderedDict()  # times by id, latest last
-        # Recently active helpers that have not answered yet; None: none was asked.
+        # Recently active helpers that have not answered yet; None: no recently active helper was asked.
         self.missing_helpers: set[int] | None = None
         self.confirmed_failures = 0  # in a row, of which no helper was missing
         self.next_period_at = 0.0
 
     # --- knowledge -------------------------------------------------------------------------------
 
-    def alive(self) -> list[Member]:
+    def present(self) -> list[Member]:
         """Returns the other members that are alive or suspected."""
         return [member for member in self.known.values() if member.state <= SUSPECT and member.id != self.fleet.me]
 
@@ -122,8 +123,8 @@
         """Returns how many members are alive or suspected, including this one."""
         return 1 + sum(member.state <= SUSPECT for member in self.known.values() if member.id != self.fleet.me)
 
-    def alive_at(self, address: Address) -> Member | None:
-        """Returns the member that is alive at an address, or None."""
+    def present_at(self, address: Address) -> Member | None:
+        """Returns the member at an address that is alive or suspected, or None."""
         return next(
             (member for member in self.known.values() if member.address == address and member.state <= SUSPECT), None
         )
@@ -135,7 +136,8 @@
         self.known[self.fleet.me] = Member(self.fleet.me, state, self.incarnation, settings.address, settings.zone)
 
     def should_merge(self, row: list) -> bool:
-        """Whether a received row of a member is to be merged. Objects if the row suspects this process."""
+        """Whether a received row of a member is to be merged. A row that suspects this process also raises its own
+        incarnation, which refutes the row."""
         _, origin, version, data = row
         if type(version) is not int or type(origin) is not int or not isinstance(data, bytes):
             return True  # the table refuses and counts it
@@ -145,7 +147,7 @@
         if origin == self.fleet.me:
             if new.incarnation >= self.incarnation and new.state != ALIVE and not self.fleet.leaving:
                 self.incarnation = new.incarnation + 1
-                self.health = min(MAX_HEALTH, self.health + 1)
+                self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
                 self.fleet.counts["objected"] += 1
                 self.write_own_entry()
             return False
@@ -159,8 +161,8 @@
             return
         previous, self.known[origin] = self.known.get(origin), new
         if new.state == SUSPECT and (previous is None or previous.state < SUSPECT):
-            patience = suspicion_ms(self.fleet.settings.slot_count) * (1 + self.health / 4)
-            self.fleet.call_after(patience, self._on_suspicion_timeout, (origin, entry[0]))
+            timeout_ms = suspicion_ms(self.fleet.settings.slot_count) * (1 + self.health_penalty / 4)
+            self.fleet.call_after(timeout_ms, self._on_suspicion_timeout, (origin, entry[0]))
         elif new.state >= DEAD and (previous is None or previous.state < DEAD):
             self.fleet.counts["ended_members"] += 1
             self.fleet.call_after(FORGET_AFTER_MS, self._forget, origin)
@@ -201,30 +203,34 @@
         if delay_ms > PROBE_PERIOD_MS:
             # This process was paused. That nobody answered it proves nothing about the others.
             self.fleet.counts["away"] += 1
-            self.health = min(MAX_HEALTH, self.health + 1 + int(delay_ms / (4 * PROBE_PERIOD_MS)))
+            self.health_penalty = min(
+                MAX_HEALTH_PENALTY, self.health_penalty + 1 + int(delay_ms / (4 * PROBE_PERIOD_MS))
+            )
             self.pending_probe = None
         if self.pending_probe is not None:
             self._update_health()
             self._change_state(self.pending_probe[1], SILENT)
             self.pending_probe = None
-        self.indirect_probes = {n: h for n, h in self.indirect_probes.items() if n > self.serial - 64}
+        self.indirect_probes = {
+            n: h for n, h in self.indirect_probes.items() if n > self.serial - MAX_INDIRECT_PROBES
+        }
         if (target := self._next_target()) is not None:
             self.serial += 1
             self.pending_probe, self.missing_helpers = (self.serial, target), None
             self.fleet.send_probe(frame.PROBE, target, self.serial)
             self.fleet.call_after(
-                PROBE_TIMEOUT_MS * (1 + self.health / 4), self._probe_indirectly, self.pending_probe
+                PROBE_TIMEOUT_MS * (1 + self.health_penalty / 4), self._probe_indirectly, self.pending_probe
             )
         self._probe_leader()
-        self.next_period_at = now + PROBE_PERIOD_MS * (1 + self.health / 4)
+        self.next_period_at = now + PROBE_PERIOD_MS * (1 + self.health_penalty / 4)
         self.fleet.call_after(self.next_period_at - now, self.tick, self.next_period_at)
 
     def _probe_leader(self) -> None:
         """Asks the leader whether the view is in force, if that was not confirmed for a while.
 
-        Any answer confirms it, but at second hand. In a large fleet members ask at random: together as often as
-        ``LEADER_PROBES_PER_PERIOD`` members would. A member that knows of a newer view than it holds learns nothing
-        from that answer and asks for the missing view instead."""
+        Other members' answers confirm it too, but only as of when they last knew. In a large fleet members ask at
+        random: together as often as ``LEADER_PROBES_PER_PERIOD`` members would. A member that knows of a newer view
+        than it holds learns nothing from that answer and asks for the missing view instead."""
         fleet, leader = self.fleet, self.fleet.leader_id()
         if fleet.view_age() <= min(STALE_VIEW_MS, fleet.settings.view_ms * STALE_VIEW_SHARE):
             return
@@ -246,7 +252,7 @@
             member = self.known.get(member_id)
             if member is not None and member.state <= SUSPECT and member_id != self.fleet.me:
                 return member_id
-        self.probe_order = [member.id for member in self.alive()]
+        self.probe_order = [member.id for member in self.present()]
         self.rng.shuffle(self.probe_order)
         return self.probe_order.pop() if self.probe_order else None
 
@@ -260,17 +266,19 @@
         else:
             self.confirmed_failures = 0
         if self.confirmed_failures >= CONFIRMED_FAILURES:
-            self.health = max(0, self.health - 2)  # at least two round trips succeeded
+            self.health_penalty = max(0, self.health_penalty - 2)  # at least two round trips succeeded
         else:
             missing = len(self.missing_helpers) if self.missing_helpers is not None else 0
-            self.health = min(MAX_HEALTH, self.health + (2 if missing == INDIRECT_PROBE_COUNT else 1))
+            self.health_penalty = min(
+                MAX_HEALTH_PENALTY, self.health_penalty + (2 if missing == INDIRECT_PROBE_COUNT else 1)
+            )
 
     def _probe_indirectly(self, probe: tuple[int, int]) -> None:
         """Asks helpers to probe the target. Members that were active recently come first: a member that is gone
         cannot help, and only from an active one is a missing answer a sign."""
         if self.pending_probe != probe:
             return
-        others = [member.id for member in self.alive() if member.id != probe[1] and member.state == ALIVE]
+        others = [member.id for member in self.present() if member.id != probe[1] and member.state == ALIVE]
         self.rng.shuffle(others)
         recent = {member_id for member_id, at in self.recent_senders.items() if self.fleet.now - at <= RECENT_MS}
         helpers = sorted(others, key=lambda member_id: member_id not in recent)[:INDIRECT_PROBE_COUNT]
@@ -281,7 +289,7 @@
     def on_indirect_probe(self, sender: int, number: int, target: int) -> None:
         """Another member could not reach the target and asks whether this one can."""
         member = self.known.get(target)
-        if member is None or member.state > SUSPECT or len(self.indirect_probes) >= 64:
+        if member is None or member.state > SUSPECT or len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return
         self.serial += 1
         self.indirect_probes[self.serial] = (sender, number, target)
@@ -304,7 +312,7 @@
         """A probe of this member was answered."""
         if self.pending_probe == (number, sender):
             self.pending_probe = None
-            self.health = max(0, self.health - 1)
+            self.health_penalty = max(0, self.health_penalty - 1)
         elif (request := self.indirect_probes.pop(number, None)) is not None and request[2] == sender:
             self.fleet.send(frame.INDIRECT_ACK, request[0], [request[1], sender])
 
--- a/rushweir/lab/scale/plants.py
+++ b/rushweir/lab/scale/plants.py
@@ -30,7 +30,7 @@
 
     def planted(self: Members, planned: float) -> None:
         tick(self, planned)
-        for m in self.alive():
+        for m in self.present():
             self.serial += 1
             self.fleet.send_probe(f.PROBE, m.id, self.serial)
 
--- a/tests/fleet/test_cuts.py
+++ b/tests/fleet/test_cuts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rushweir.fleet.core import Fleet
-from rushweir.fleet.members import DEAD, MAX_HEALTH
+from rushweir.fleet.members import DEAD, MAX_HEALTH_PENALTY
 from rushweir.fleet.members import Members as Probes
 from rushweir.lab.sim.fleets import KEY, Members
 from rushweir.lab.sim.world import World
@@ -26,7 +26,7 @@
 
 class BlamingProbes(Probes):
     def _update_health(self) -> None:
-        self.health = min(MAX_HEALTH, self.health + 1)
+        self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
 
 
 def together(seed: int, count: int, kind: type[Fleet]) -> tuple[World, Members]:
@@ -66,8 +66,8 @@
     world, fleet = together(1, 6, kind)
     world.split([Members.place(0)], [Members.place(k) for k in range(1, 6)])
     world.run(world.now + 6_000.0)
-    assert fleet.fleet(0).members.health > MAX_HEALTH / 2
-    assert max(fleet.fleet(k).members.health for k in range(1, 6)) <= 2
+    assert fleet.fleet(0).members.health_penalty > MAX_HEALTH_PENALTY / 2
+    assert max(fleet.fleet(k).members.health_penalty for k in range(1, 6)) <= 2
 
 
 @cache
@@ -97,4 +97,4 @@
 
 class HastyProbes(Probes):
     def _update_health(self) -> None:
-        self.health = 0
+        self.health_penalty = 0
--- a/tests/fleet/test_noise.py
+++ b/tests/fleet/test_noise.py
@@ -82,7 +82,7 @@
         fleet.start(k)
     world.run(15_000.0)
     member = next(fleet.fleet(k) for k in range(3) if not fleet.fleet(k).leader_lease.is_held())
-    sender = next(m.id for m in member.members.alive())
+    sender = next(m.id for m in member.members.present())
     member.exchange.on_view_report(sender, 1 << 40)
     assert member.exchange.request_newer_view() and not member.exchange.request_newer_view()
     member.exchange.on_view_report(sender, member.view.number)
