--- a/rushweir/fleet/view_manager.py
+++ b/rushweir/fleet/view_manager.py
@@ -31,7 +31,7 @@
     from rushweir.fleet.core import Fleet
 
 CLOSED, FETCHING, PROPOSING, OPEN = "closed", "fetching", "putting", "open"
-STEP_MS = 100.0  # changes within this time make one view
+BATCH_MS = 100.0  # changes within this time make one view
 RESEND_MS = 300.0
 MAX_CHANGES_PER_VIEW = 16
 PAGE_BYTES = 150  # of slots in a datagram
@@ -56,9 +56,9 @@
         format_, number, rows = msgpack.unpackb(data)
         slots = {n: unpack_slot(d) for n, d in rows}
     except (ValueError, TypeError, msgpack.UnpackException) as problem:
-        raise StoredViewError(f"not a stored view: {problem}") from None
+        raise StoredViewError(f"the stored view of this seed is unreadable: {problem}") from None
     if format_ != FORMAT or type(number) is not int or None in slots.values():
-        raise StoredViewError("not a stored view of this format")
+        raise StoredViewError("the stored view of this seed is unreadable: not of this format")
     return View(number, slots)
 
 
@@ -112,10 +112,10 @@
         self.latest = self.base = self.proposed = stored  # the last view, its base, and the proposal
         self.accepted_by: set[int] = set()
         self.needs_snapshot: set[int] = set()  # seeds that need all slots, not the changes
-        self.sent_at = self.opened_at = 0.0
-        self.source = (0, 0)
+        self.sent_at = self.elected_at = 0.0
+        self.fetch_from = (0, 0)  # (view number, seed)
         self.slot_requests: dict[int, SlotRequest] = {}
-        self.left: dict[int, float] = {}  # processes that gave their slots back, and when
+        self.released_at: dict[int, float] = {}  # processes that gave their slots back, and when
         self.lost_at: dict[int, float] = {}  # slots, and since when they are LOST in a view in force
         self.unknown_since: dict[int, float] = {}  # processes with a slot that are no known members
 
@@ -176,10 +176,10 @@
     def on_elected(self, ballot: int, newest: int, seed: int) -> None:
         """This seed became the leader. ``newest`` is the number of the newest stored view that a promise named,
         ``seed`` the process that has it."""
-        self.ballot, self.opened_at, self.latest = ballot, self.fleet.now, self.stored
+        self.ballot, self.elected_at, self.latest = ballot, self.fleet.now, self.stored
         self.lost_at, self.unknown_since, self.slot_requests = {}, {}, {}
         if newest > self.stored.number:
-            self.state, self.source, self.sent_at = FETCHING, (newest, seed), 0.0
+            self.state, self.fetch_from, self.sent_at = FETCHING, (newest, seed), 0.0
         else:
             self.state = CLOSED
             self._propose(self.stored.slots)
@@ -187,7 +187,7 @@
     def on_page(self, sender: int, body: list) -> None:
         """A page of a fetched view came."""
         number, digest, page, page_count, rows = body
-        if self.state != FETCHING or (number, sender) != self.source:
+        if self.state != FETCHING or (number, sender) != self.fetch_from:
             return
         if (all_rows := self.fetched_pages.add(number, page, page_count, rows)) is not None:
             view = apply_changes(View(), number, all_rows)
@@ -195,8 +195,8 @@
                 self.latest = view
                 self._propose(view.slots)
 
-    def _propose(self, slots: dict, after: int = 0) -> None:
-        newest = max(after, self.latest.number, self.fleet.view.number, self.stored.number)
+    def _propose(self, slots: dict, newer_than: int = 0) -> None:
+        newest = max(newer_than, self.latest.number, self.fleet.view.number, self.stored.number)
         if (header := self.fleet.table.get(VIEW_HEADER, 0)) is not None:
             newest = max(newest, header[0])  # numbers go on even if all seeds lost their files
         self.base = self.latest
@@ -210,8 +210,8 @@
         for voter in self.fleet.other_seeds():
             if voter.id in self.accepted_by:
                 continue
-            is_complete = voter.id in self.needs_snapshot
-            base = View() if is_complete else self.base
+            send_all_slots = voter.id in self.needs_snapshot
+            base = View() if send_all_slots else self.base
             for page in self._paginate_changes(base, view):
                 body = [self.ballot, view.number, base.number, view.digest(), *page]
                 self.fleet.send(frame.VIEW_PROPOSE, voter.id, body)
@@ -240,7 +240,7 @@
         for process in [i for i in self.slot_requests if view.has_active_slot(i)]:
             del self.slot_requests[process]
             self._push_view(process)
-        for process in [i for i in self.left if view.slot_of(i) < 0]:
+        for process in [i for i in self.released_at if view.slot_of(i) < 0]:
             fleet.send(frame.SLOT_RELEASED, process, [])
 
     def _accepting_seeds(self) -> list:
@@ -264,48 +264,48 @@
             self.state = CLOSED
         if self.state == FETCHING and now >= self.sent_at + RESEND_MS:
             self.sent_at = now
-            fleet.send(frame.VIEW_FETCH, self.source[1], [self.source[0]])
-            if now > self.opened_at + fleet.settings.leader_lease_ms:
+            fleet.send(frame.VIEW_FETCH, self.fetch_from[1], [self.fetch_from[0]])
+            if now > self.elected_at + fleet.settings.leader_lease_ms:
                 fleet.leader_lease.release()  # the seed that had the view is gone; another round finds another
         elif self.state == PROPOSING and now >= self.sent_at + RESEND_MS:
             self._send_proposal()
         elif self.state == OPEN:
             self._propose_next()
-        fleet.call_after(STEP_MS, self.tick, None)
+        fleet.call_after(BATCH_MS, self.tick, None)
 
     def _propose_next(self) -> None:
         fleet, now, slots = self.fleet, self.fleet.now, self.latest.slots
         hold_ms = max_under_drift(fleet.settings.keep_ms)
         freed = [n for n, t in self.lost_at.items() if now - t >= hold_ms]
-        silent, left = [], set(self.left)
+        silent, left_ids = [], set(self.released_at)
         for slot in slots.values():
             member = fleet.members.known.get(slot.id)
             if member is not None:
                 self.unknown_since.pop(slot.id, None)
                 if member.state == LEFT:
-                    left.add(slot.id)
+                    left_ids.add(slot.id)
                 elif member.state == DEAD:
                     silent.append(slot.id)
             elif now - self.unknown_since.setdefault(slot.id, now) > suspicion_ms(fleet.settings.slot_count):
                 silent.append(slot.id)
         requests = sorted(self.slot_requests.values(), key=lambda w: (w.slot < 0, w.slot, w.id))
         new, refused = assign_slots(
-            slots, fleet.settings.slot_count, requests, left, silent, freed, MAX_CHANGES_PER_VIEW
+            slots, fleet.settings.slot_count, requests, left_ids, silent, freed, MAX_CHANGES_PER_VIEW
         )
         for process, why in refused.items():
             self.slot_requests.pop(process, None)
             fleet.send(frame.SLOT_REFUSED, process, [why])
-        self.left = {i: t for i, t in self.left.items() if now - t < hold_ms}
+        self.released_at = {i: t for i, t in self.released_at.items() if now - t < hold_ms}
         if new != slots:
             self._propose(new)
 
     def request_slot(self, process: int, address: tuple[str, int], slot: int) -> None:
         """A member asks for a slot; ``slot`` -1: for any."""
         member = self.fleet.members.known.get(process)
-        if self.state == CLOSED or not self.fleet.leader_lease.is_held() or process in self.left:
+        if self.state == CLOSED or not self.fleet.leader_lease.is_held() or process in self.released_at:
             return
         if member is None or member.state >= DEAD:
-            return  # it has to object first, or its slot would be lost and assigned in turns
+            return  # it must refute its death first, else its slot would alternate between lost and assigned
         if self.state == OPEN and self.latest.has_active_slot(process) and slot in (-1, self.latest.slot_of(process)):
             self._push_view(process)
         elif len(self.slot_requests) < 2 * self.fleet.settings.slot_count:
@@ -318,8 +318,8 @@
         self.slot_requests.pop(process, None)
         if self.state == OPEN and self.latest.slot_of(process) < 0:
             self.fleet.send(frame.SLOT_RELEASED, process, [])
-        if len(self.left) < 2 * self.fleet.settings.slot_count:
-            self.left.setdefault(process, self.fleet.now)
+        if len(self.released_at) < 2 * self.fleet.settings.slot_count:
+            self.released_at.setdefault(process, self.fleet.now)
 
     def is_well_formed(self, body: Any) -> bool:
         """Whether the rows of a proposal or a page have the form that reading them needs."""
--- a/tests/fleet/test_serve.py
+++ b/tests/fleet/test_serve.py
@@ -144,6 +144,6 @@
         (h.tmp / "run" / "fleet").write_bytes(b"torn")
         process = await h.spawn()
         assert await asyncio.wait_for(process.wait(), 20) == 1
-        assert b"not a stored view" in (h.tmp / "errors.txt").read_bytes()
+        assert b"the stored view of this seed is unreadable" in (h.tmp / "errors.txt").read_bytes()
 
     house(body)
