--- a/rushweir/config/compact.py
+++ b/rushweir/config/compact.py
@@ -132,7 +132,7 @@
         return self.block(self.record(self.slots[name]))
 
     def record(self, slot: int) -> PartnerRecord:
-        return self.held.plans[slot], self.held.kept[slot], self.held.doors[slot]
+        return self.held.plans[slot], self.held.digests_by_slot[slot], self.held.gateways[slot]
 
     @staticmethod
     def block(record: PartnerRecord) -> m.PartnerBlock:
--- a/rushweir/config/live.py
+++ b/rushweir/config/live.py
@@ -159,7 +159,7 @@
     slots, held = mine.group.slots, mine.group.held
     bound = {name for name, p in known.file.plans.items() if p.ceiling_rate}  # without a ceiling there is no whole
     touched = ((name, slots[name]) for name in (*mine.put, *mine.gone) if name in slots)
-    had = {name: held.doors[slot] for name, slot in touched if held.plans[slot] in bound}
+    had = {name: held.gateways[slot] for name, slot in touched if held.plans[slot] in bound}
     had = {name: doors for name, doors in had.items() if _other(doors, mine.get(name), count)}
     ways = _passed(passed, mine, count) if any(p.ceiling_rate for p in file.plans.values()) else {}
     if ANYBODY in known.between.customers:
@@ -288,7 +288,7 @@
     ways = [n for n in (*known.ways, *new.ways) if known.ways.get(n) != new.ways.get(n)]
     moved = dict.fromkeys((*mine.put, *ways))
     if setup is None:  # else a plan may be another under its name
-        doors = mine.group.held.doors
+        doors = mine.group.held.gateways
         through = [n for n, (r, _) in mine.put.items() if n in slots and doors[slots[n]] != r[2]]
         moved = dict.fromkeys((*plans, *through, *ways))
     hashes = tuple((n, crc32(n.encode())) for n in moved)
--- a/rushweir/discovery/pushed.py
+++ b/rushweir/discovery/pushed.py
@@ -48,13 +48,13 @@
         )  # fmt: skip
         self.watching = push
         self.version = -1  # of the current list; -1: none from this service yet
-        self.fetched_at = -FETCH_INTERVAL_MS
+        self.refetched_at = -FETCH_INTERVAL_MS
         self.updates: list[Update] = []
         self.log_events: list[commands.LogEvent] = []
         self.counts: Counter[str] = Counter()
 
     def watch(self, now: float, on: bool) -> None:
-        """Subscribes to changes or unsubscribes. Adds a failed update if the service can't be reached."""
+        """Subscribes to changes or unsubscribes. Appends an Update with scope FAILED if there is no link."""
         self.link.now = now
         self.watching = on
         if self.link.state is OPEN:
@@ -63,7 +63,7 @@
             self._add_failure()
 
     def fetch(self, now: float) -> None:
-        """Requests the full list. Adds a failed update if the service can't be reached."""
+        """Requests the full list. Appends an Update with scope FAILED if the service can't be reached."""
         self.link.now = now
         if self.link.state is OPEN:
             self.link.call("list.fetch", {})
@@ -83,11 +83,11 @@
             self._add_failure()
 
     def bad_message(self, why: str) -> None:
-        """Rejects an update as a whole and fetches the full list, at most once per interval however many come."""
+        """Counts and logs an invalid update and fetches the whole list, at most once in ``FETCH_INTERVAL_MS``."""
         self.counts["bad_updates"] += 1
         self.log_events.append(commands.LogEvent("warning", "list_update_refused", {"why": why[:300]}))
-        if self.link.state is OPEN and self.link.now - self.fetched_at >= FETCH_INTERVAL_MS:
-            self.fetched_at = self.link.now
+        if self.link.state is OPEN and self.link.now - self.refetched_at >= FETCH_INTERVAL_MS:
+            self.refetched_at = self.link.now
             self.link.call("list.fetch", {})
 
     def message(self, message: rpc.Call | rpc.Reply) -> None:
@@ -115,7 +115,7 @@
             raise UpdateError(f"base: {params.get('base')!r} is not {self.version}, the current version")
         if scope == "full":
             servers = tuple(server for server in servers if server.state is not interface.State.GONE)
-            self.fetched_at = -FETCH_INTERVAL_MS
+            self.refetched_at = -FETCH_INTERVAL_MS
         self.version = version
         self.counts["updates"] += 1
         self.updates.append(Update(interface.Scope(scope), version, servers))
--- a/rushweir/edge/discovery_watch.py
+++ b/rushweir/edge/discovery_watch.py
@@ -1,5 +1,7 @@
 """The backend list from the platform's discovery over HTTP/1.1: the full list once, then a watch. No I/O.
 
+An agent on this machine answers for discovery.
+
     disconnected --dial--> dialing --> calling --answer--> calling ...
       ^                       |           |
       +--- a jittered delay ---+----------+  (refused, lost, timed out, invalid answer)
@@ -8,8 +10,8 @@
 change, so that missed changes arrive at once. An invalid answer is refused and the last list stays. An invalid entry
 drains its own backend only. A list applies from the moment when its last byte was read.
 
-A change at discovery applies here after ``MAX_CHANGE_DELAY_MS`` at most after any single fault: the watch falls
-silent right after a call, one more call takes as long as it may and fails, and the next succeeds.
+A change at discovery applies here after ``MAX_CHANGE_DELAY_MS`` at most after any single fault. Worst case: one
+silent watch, one failed call, one successful call.
 """
 
 from __future__ import annotations
@@ -86,7 +88,8 @@
         self.counts: Counter[str] = Counter()
 
     def known(self, page: Any) -> Update:
-        """Takes over the list that this ingress last had, before the first answer. Raises UpdateError."""
+        """Takes over the list that this ingress last had, before the first answer, and returns it as an Update.
+        Raises UpdateError."""
         version, _, servers = self._parse(page)
         self.version = version
         return Update(interface.Scope.CACHED, version, self._store(servers, True))
@@ -228,8 +231,8 @@
         """Applies a list with a lower version than the current one.
 
         Backends that it drains are drained at once, and backends that it omits after ``OLDER_DRAINS_ONLY_MS``.
-        Backends that are ready in this list only stay out until lists have been older for ``OLDER_ACCEPTED_MS``.
-        Raises UpdateError until then."""
+        Backends that are ready only in this list stay out until lists have been older for ``OLDER_ACCEPTED_MS``.
+        Raises UpdateError until then. Returns if the list is to be accepted as a whole."""
         self.counts["behind"] += 1
         if listed is None:
             self.has_full_list = False  # a delta to another list: the full list is requested
--- a/rushweir/edge/front.py
+++ b/rushweir/edge/front.py
@@ -272,15 +272,15 @@
 
     # --- requests of the core --------------------------------------------------------------------
 
-    def reject(self) -> None:
+    def reject_full(self) -> None:
         """Answers a new connection beyond the limit with 503."""
         self._write_last_answer(503, b"no more connections")
 
-    def forbid(self) -> None:
+    def reject_network(self) -> None:
         """Answers a connection from a network that is not allowed with 503."""
         self._write_last_answer(503, b"not from there")
 
-    def time_out(self) -> None:
+    def reject_slow_head(self) -> None:
         """Answers 408 for an incomplete request (RFC 9110, 15.5.9), after the answer to the open one."""
         if self.open_request_id is None:
             self._write_last_answer(408, b"no whole request in time")
--- a/rushweir/fronts/credentials.py
+++ b/rushweir/fronts/credentials.py
@@ -35,7 +35,10 @@
 class Credentials:
     """All partners and the digests of their credentials. Iteration yields the name and plan of each partner."""
 
-    __slots__ = ("overrides", "digests", "doors", "ingress_count", "free", "kept", "names", "plans", "slots", "users")
+    __slots__ = (
+        "overrides", "digests", "gateways", "ingress_count", "free", "digests_by_slot", "names", "plans", "slots",
+        "users",
+    )  # fmt: skip
 
     def __init__(self, by_digest: Mapping[str, Partner] | None = None, ingress_count: int = 1) -> None:
         """``ingress_count``: the number of ingresses, for partners that may use all of them."""
@@ -44,8 +47,8 @@
         self.slots: dict[str, int] = {}  # by name
         self.names: list[str] = []  # by slot; "" where the slot is free
         self.plans: list[str] = []  # by slot
-        self.doors: list[tuple[int, int]] = []  # by slot: the first gateway, and how many from it on
-        self.kept: list[bytes] = []  # digests by slot
+        self.gateways: list[tuple[int, int]] = []  # by slot: the first gateway, and how many from it on
+        self.digests_by_slot: list[bytes] = []
         self.digests: dict[bytes, int] = {}  # slots by digest
         self.free: list[int] = []  # slots
         self.users: Counter[str] = Counter()  # number of partners of each plan
@@ -63,7 +66,7 @@
             return None
         given = sha256(found[1].encode()).digest()
         slot = self.digests.get(given)
-        if slot is None or not hmac.compare_digest(self.kept[slot], given):
+        if slot is None or not hmac.compare_digest(self.digests_by_slot[slot], given):
             return None
         return self._partner_in_slot(slot)
 
@@ -75,7 +78,7 @@
     def _partner_in_slot(self, slot: int) -> Partner:
         if self.overrides and (other := self.overrides.get(self.names[slot])) is not None:
             return other
-        first_gateway, gateway_count = self.doors[slot]
+        first_gateway, gateway_count = self.gateways[slot]
         return Partner(self.names[slot], self.plans[slot], gateway_count or self.ingress_count, first_gateway)
 
     def put(self, name: str, plan: str, key: bytes, gateways: tuple[int, int]) -> int:
@@ -85,15 +88,24 @@
         slot = self.slots.get(name)
         if slot is not None:
             self._uncount_plan(self.plans[slot])
-            if self.digests.get(self.kept[slot]) == slot:  # otherwise a partner changed in the same update has it
-                del self.digests[self.kept[slot]]
-            self.plans[slot], self.kept[slot], self.doors[slot] = plan, key, gateways
+            # Otherwise a partner changed in the same update has the digest.
+            if self.digests.get(self.digests_by_slot[slot]) == slot:
+                del self.digests[self.digests_by_slot[slot]]
+            self.plans[slot], self.digests_by_slot[slot], self.gateways[slot] = plan, key, gateways
         elif self.free:
             slot = self.slots[name] = self.free.pop()
-            self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = name, plan, key, gateways
+            self.names[slot] = name
+            self.plans[slot] = plan
+            self.digests_by_slot[slot] = key
+            self.gateways[slot] = gateways
         else:
             slot = self.slots[name] = len(self.names)
-            for column, value in ((self.names, name), (self.plans, plan), (self.kept, key), (self.doors, gateways)):
+            for column, value in (
+                (self.names, name),
+                (self.plans, plan),
+                (self.digests_by_slot, key),
+                (self.gateways, gateways),
+            ):
                 column.append(value)
         self.digests[key] = slot
         self.users[plan] += 1
@@ -102,10 +114,13 @@
     def remove(self, name: str) -> int:
         """Removes a partner and returns the slot that it had."""
         slot = self.slots.pop(name)
-        if self.digests.get(self.kept[slot]) == slot:
-            del self.digests[self.kept[slot]]
+        if self.digests.get(self.digests_by_slot[slot]) == slot:
+            del self.digests[self.digests_by_slot[slot]]
         self._uncount_plan(self.plans[slot])
-        self.names[slot], self.plans[slot], self.kept[slot], self.doors[slot] = "", "", b"", ALL_INGRESSES
+        self.names[slot] = ""
+        self.plans[slot] = ""
+        self.digests_by_slot[slot] = b""
+        self.gateways[slot] = ALL_INGRESSES
         self.free.append(slot)
         return slot
 
@@ -118,7 +133,7 @@
         """Returns a copy, for large changes that are prepared outside the event loop."""
         other = Credentials(None, self.ingress_count)
         other.overrides = self.overrides
-        for attribute in ("slots", "names", "plans", "doors", "kept", "digests", "free", "users"):
+        for attribute in ("slots", "names", "plans", "gateways", "digests_by_slot", "digests", "free", "users"):
             setattr(other, attribute, getattr(self, attribute).copy())
         return other
 
@@ -131,4 +146,6 @@
     @property
     def by_digest(self) -> dict[str, Partner]:
         """All partners by the text form of their digests."""
-        return {f"sha256:{self.kept[slot].hex()}": self._partner_in_slot(slot) for slot in self.slots.values()}
+        return {
+            f"sha256:{self.digests_by_slot[slot].hex()}": self._partner_in_slot(slot) for slot in self.slots.values()
+        }
--- a/rushweir/fronts/websocket.py
+++ b/rushweir/fronts/websocket.py
@@ -60,7 +60,7 @@
         self.finished = False
         self.refusal_reason = ""  # why new requests are refused; "" while they are accepted
         self.notification_count = 0
-        self.error_count = 0  # messages answered with a JSON-RPC error
+        self.error_count = 0  # messages that were errors, answered or not
 
     # --- input -----------------------------------------------------------------------------------
 
@@ -257,14 +257,14 @@
         if batch_answers is not None:
             batch_answers.left += 1
         try:
-            ask = self._checked_request(message)
+            query = self._checked_request(message)
         except rpc.RpcError as problem:
             self._send_error(problem, batch_answers)
             return
-        if within is not None and (ask.within_ms is None or within < ask.within_ms):
-            ask = Query(ask.class_name, ask.payload, within, ask.units)
+        if within is not None and (query.within_ms is None or within < query.within_ms):
+            query = Query(query.class_name, query.payload, within, query.units)
         self.open_ids.add(message.id)
-        self.new_requests.append((RequestRef(message.id, batch_answers), ask))
+        self.new_requests.append((RequestRef(message.id, batch_answers), query))
 
     def _checked_request(self, call: rpc.Call) -> Query:
         assert call.id is not None and self.partner is not None
@@ -352,15 +352,15 @@
         if self.messages is not None:
             self.messages.ping()
 
-    def reject(self) -> None:
+    def reject_full(self) -> None:
         """Answers a new connection beyond the limit with 503, before anything of it is read."""
         self._send_last_answer(503, "no room for more connections", [("Retry-After", "1")])
 
-    def forbid(self) -> None:
+    def reject_network(self) -> None:
         """Answers a connection from a network that is not allowed with 403."""
         self._send_last_answer(403, "no connections are taken from this network")
 
-    def time_out(self) -> None:
+    def reject_slow_head(self) -> None:
         """Answers 408: the request head did not arrive in time (RFC 9110, 15.5.9)."""
         self._send_last_answer(408, "the request head took too long")
 
--- a/rushweir/ingress/clients.py
+++ b/rushweir/ingress/clients.py
@@ -56,11 +56,11 @@
         is_full = len(self.open) > self.core.setup.max_clients or not self.core.load_shedder.admits_connections()
         if self.core.stopping or is_full:
             self.counts["turned_away"] += 1
-            front.reject()
+            front.reject_full()
             self._flush(client)
         elif address and (networks := self.core.setup.client_networks) is not None and not networks.allows(address):
             self.counts["strange_networks"] += 1
-            front.forbid()
+            front.reject_network()
             self._flush(client)
         else:
             self.engine.call_at(self.core.now + self.core.setup.handshake_ms, self._head_timed_out, client)
@@ -104,7 +104,7 @@
         client, message = timer
         if client.front.partial_message == message and not client.ended and client.conn in self.open:
             self.counts["slow_messages"] += 1
-            client.front.time_out()
+            client.front.reject_slow_head()
             self._flush(client)
 
     def _close_idle_connections(self, new_client: Client) -> None:
@@ -180,7 +180,7 @@
     def _head_timed_out(self, client: Client) -> None:
         if client.front.state is HEAD and not client.ended and client.conn in self.open:
             self.counts["slow_handshakes"] += 1
-            client.front.time_out()
+            client.front.reject_slow_head()
             self._flush(client)
 
     def _head_read(self, client: Client) -> None:
--- a/tests/rollout/test_ceilings.py
+++ b/tests/rollout/test_ceilings.py
@@ -170,7 +170,7 @@
 def by_record(name: str, g: Gateway) -> tuple[int, int]:
     """Clients come where the settings of an ingress let them."""
     held = g.config.file.partners.held
-    return held.doors[held.slots[name]] if name in held.slots else (0, 0)
+    return held.gateways[held.slots[name]] if name in held.slots else (0, 0)
 
 
 orders = st.permutations(range(COUNT)).map(list)
