--- a/rushweir/costs/ledger.py
+++ b/rushweir/costs/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of costs: each attempt opens an entry, which is closed exactly once. No I/O, no clock.
+"""The ledger of costs: each attempt opens an entry, which ends exactly once. No I/O, no clock.
 
     open --answer-------> settled      at the actual cost, or at the estimate if the answer names none
       |---never ran-----> released     nothing is charged
@@ -9,9 +9,9 @@
 ones. Each transition is a function of the entry's state. An event that has no transition from there (a second answer,
 an answer to another attempt, a usage report of a settled entry) changes nothing and is counted as unmatched.
 
-A keyed request, one with an idempotency key, takes effect once, however often it is sent: its first settled attempt
-is charged, and the others are released when their answers come, whatever cost they name; a different cost is counted
-as disputed.
+A keyed request, one with an idempotency key, takes effect once, however many attempts of it are sent: its first
+settled attempt is charged, and the others are released when their answers come, whatever cost they name; a different
+cost is counted as disputed. This release is not in the table of transitions (``CostLedger.record_answer``).
 
 Amounts are integer thousandths of a unit. Open and unsettled entries are bounded by ``max_entries``.
 """
@@ -30,7 +30,8 @@
 # Events.
 ANSWERED, NEVER_RAN, LOST, TIMED_OUT = "answered", "never_ran", "lost", "timed_out"
 
-# The complete state machine: (state, event) to the next state.
+# From (state, event) to the next state; each entry ends exactly once. Besides, the later answers of a keyed request
+# that is charged already release their entries (``record_answer``).
 TRANSITIONS = {
     (OPEN, ANSWERED): SETTLED,
     (OPEN, NEVER_RAN): RELEASED,
@@ -44,7 +45,7 @@
 
 
 class LedgerFull(Exception):
-    """The maximum number of entries is open."""
+    """The maximum number of entries is open or unsettled."""
 
 
 @dataclass(slots=True)
@@ -63,7 +64,10 @@
 
 @dataclass(slots=True)
 class Account:
-    """What a partner is charged, by the state of the entries, in thousandths of a unit; and its attempts by state."""
+    """What a partner is charged, by the state of the entries, in thousandths of a unit.
+
+    ``attempts``: how many of its attempts ever reached each state.
+    """
 
     settled: int = 0
     open: int = 0
@@ -81,7 +85,7 @@
 class Transition:
     """What an event changed: the entry's new state, and the amount charged from then on in place of the estimate.
 
-    The log stores it as plain values.
+    The cost log stores it as plain values.
     """
 
     event: str
@@ -127,7 +131,7 @@
         if estimate < 0:
             raise ValueError(f"request {request_id}: the estimate is negative")
         if len(self.entries) >= self.max_entries:
-            raise LedgerFull(f"{self.max_entries} entries are open")
+            raise LedgerFull(f"{self.max_entries} entries are open or unsettled")
         entry = self.entries[key] = Entry(request_id, attempt, partner, route, estimate, now, keyed)
         if keyed:
             self.keyed_attempts[request_id] += 1
@@ -139,7 +143,8 @@
     def record_answer(self, now: float, request_id: str, attempt: int, actual: int | None) -> Transition | None:
         """Settle an attempt by its answer, in time or late, or by the node's usage report.
 
-        ``actual``: the cost that the node reports, None if it names none. Returns None if no entry matches.
+        ``actual``: the cost that the node reports, None if it names none. Returns None if no entry matches, else the
+        transition, RELEASED for a keyed request charged already.
         """
         entry = self.entries.get((request_id, attempt))
         if entry is None:
@@ -275,7 +280,7 @@
         self.settled_keyed = dict(stored["done_keyed"])
 
     def apply(self, transition: Transition, now: float) -> None:
-        """Replay a transition from the log. One that was applied already changes nothing."""
+        """Replay a transition from the cost log. One that was applied already changes nothing."""
         entry = self.entries.get((transition.request_id, transition.attempt))
         if entry is None:
             return
