--- a/rushweir/lab/sim/control_injections.py
+++ b/rushweir/lab/sim/control_injections.py
@@ -35,7 +35,7 @@
     def send_append_answer(self, leader: int) -> None:
         control = self.control
         index = max(self.match_index, control.commit_index)
-        control.send(leader, "append_answer", True, index, self.sent_at)
+        control.send(leader, "append_answer", True, index, self.leader_sent_at)  # matched
 
 
 class HastyAnswer(Control):
@@ -94,10 +94,10 @@
 class Trusting(Control):
     """Accepts messages of older copies of a disk."""
 
-    def _is_from_outdated_disk(self, source: int, position: int, kind: str) -> bool:
+    def _should_ignore(self, source: int, position: int, kind: str) -> bool:
         return False
 
-    def check_own_position(self, position: int) -> None:
+    def stop_if_outdated(self, position: int) -> None:
         return
 
 
--- a/rushweir/rollout/control.py
+++ b/rushweir/rollout/control.py
@@ -5,12 +5,13 @@
 messages, writes in progress, proposals, and committed objects. Equal calls give equal commands.
 
 An entry is committed once a majority has it on disk, and it or one after it is of the leader's own term (5.4.2). Only
-the leader makes change sets, so the version of one is its place among those of that log. Two change sets with one
+the leader makes change sets, and a change set's version is its ordinal in that log. Two change sets with one
 version can be on disks, but only one of them can be committed.
 
-A message has its kind, the term, the sender's position on disk, then the fields of its kind. A position below one
-that its process reported before comes from an older copy of its disk: that process has confirmed votes and entries
-that the copy lacks. So the others ignore its messages, and it takes part no more once it learns of this.
+A message has its kind, the term, the sender's position, then the fields of its kind. A process's position is the
+number of writes of its disk so far, without compacted files. A position below one that its process reported before
+comes from an older copy of its disk: that process has confirmed votes and entries that the copy lacks. So the others
+ignore its messages, and it takes part no more once it learns of this.
 """
 
 from __future__ import annotations
@@ -53,7 +54,10 @@
 
         ``now`` here and below: milliseconds of the process's own clock. Raises ValueError."""
         if not (0 <= me < count <= MAX_PROCESSES and (state.me, state.count) == (me, count)):
-            raise ValueError(f"control process {me} of {count}: 1 to {MAX_PROCESSES}, and its own disk")
+            raise ValueError(
+                f"control process {me} of {count}: the count must be 1 to {MAX_PROCESSES},"
+                f" and its disk is of process {state.me} of {state.count}"
+            )
         self.me, self.count, self.majority, self.now, self.timing = me, count, count // 2 + 1, now, timing
         self.others = tuple(k for k in range(count) if k != me)
         self.rng = random.Random(seed)
@@ -167,7 +171,7 @@
         except (ValueError, TypeError, KeyError):
             self.counts["bad_messages"] += 1
             return
-        if self._is_from_outdated_disk(source, position, kind):
+        if self._should_ignore(source, position, kind):
             return
         if term > self.election.term and kind not in ("pre", "here"):
             self.election.adopt_term(term)
@@ -179,7 +183,7 @@
             self.counts["bad_messages"] += 1
             self.log_event("error", "bad_message", peer=source, kind=kind, why=str(problem)[:200])
 
-    def _is_from_outdated_disk(self, source: int, position: int, kind: str) -> bool:
+    def _should_ignore(self, source: int, position: int, kind: str) -> bool:
         if position < self.known_positions[source]:
             self.stale_peers.add(source)
         elif kind == "here":
@@ -197,9 +201,9 @@
         for k, position in enumerate(positions):
             if k != self.me:
                 self.known_positions[k] = max(self.known_positions[k], position)
-        self.check_own_position(positions[self.me])
+        self.stop_if_outdated(positions[self.me])
 
-    def check_own_position(self, position: int) -> None:
+    def stop_if_outdated(self, position: int) -> None:
         """Stop taking part if this process has reported a position that its disk does not have."""
         if position > self.persisted_position and not self.outdated:
             self.election.become_follower(NOBODY)
@@ -244,7 +248,8 @@
         self._write(Append, (*records, ["at", self.position]), term)
 
     def _persist_commit_index(self, before: int) -> None:
-        """Write the commit index on its own when nothing else is written and it has not moved since ``before``.
+        """Write the commit index alone if it is unchanged since ``before`` and no write is pending, so that a burst
+        is one write.
 
         It is part of the next write otherwise. A process that starts without the others knows it from its disk."""
         if (
@@ -284,7 +289,7 @@
                 self.follower.send_append_answer(self.leader)
 
     def compacted(self, now: float, serial: int) -> None:
-        """The new file of the ``Compact`` command with this serial is in place."""
+        """The new file of the ``Compact`` command (commands.py) with this serial is in place."""
         self.now = now
         self.compaction.file_in_place(serial)
 
--- a/rushweir/rollout/control_messages.py
+++ b/rushweir/rollout/control_messages.py
@@ -128,7 +128,7 @@
 
 
 def _outdated(control: Control, source: int, term: int, rest: list) -> None:
-    control.check_own_position(rest[0])
+    control.stop_if_outdated(rest[0])
 
 
 HANDLERS = {
