--- a/rushweir/budgets/budget_owner.py
+++ b/rushweir/budgets/budget_owner.py
@@ -19,13 +19,12 @@
 from rushweir.budgets.records import NO_SHARE, UNIT, BudgetTotal, Share
 from rushweir.fleet.drift import max_under_drift, min_under_drift
 
-UNKNOWN_TOTAL = BudgetTotal(
-    2**62, 2**62
-)  # of a predecessor's holder: what it reported of the total is not handed off
-# Of what may be leased stays with the owner, as the policy reserves it for a customer's first owner
+# For holders taken over from a predecessor, whose reported total is not handed off; never the minimum.
+UNKNOWN_TOTAL = BudgetTotal(2**62, 2**62)
+# Fraction of what may be leased that the owner keeps; equal to the policy's OWNER_CEILING_SHARE.
 RETAINED_SHARE = 1 / 3
 RESERVE_SHARE = 0.25  # of the leasable burst is left for the reserve
-ADDED_SHARE = 0.5  # of the reserve goes with one grant; others will request some
+ADDED_SHARE = 0.5  # most of the reserve that one grant takes; others will request some
 MAX_GRANTS = 8  # of one holder that may be in flight; older ones are merged
 
 
@@ -61,9 +60,9 @@
 class BudgetOwner:
     """The ownership state of one budget."""
 
-    def __init__(self, now: float, lease_ms: float, grants_from: float) -> None:
-        """Nothing is leased before ``grants_from``."""
-        self.leasable, self.lease_ms, self.grants_from = BudgetTotal(0, 0), lease_ms, grants_from
+    def __init__(self, now: float, lease_ms: float, may_grant_at: float) -> None:
+        """Nothing is leased before ``may_grant_at``."""
+        self.leasable, self.lease_ms, self.may_grant_at = BudgetTotal(0, 0), lease_ms, may_grant_at
         self.total = self.leasable  # as reported last, with minimum shares; its slots determine the owner
         self.holders: dict[int, LeaseHolder] = {}
         self.reserve, self.updated_at = 0.0, now
@@ -71,21 +70,21 @@
         self.allocation: dict[int, int] = {}
 
     def request(
-        self, now: float, holder_id: int, serial: int, holding: int, demand: int, total: BudgetTotal,
+        self, now: float, holder_id: int, serial: int, used_serial: int, demand: int, total: BudgetTotal,
         overflow: int = 0, missing: int = 0, duration_ms: float = inf,
     ) -> tuple[Share, int] | None:  # fmt: skip
         """Handles a holder's lease request; returns its share from now on and the tokens that come with it, or None
         if nothing may be granted yet or the request is outdated.
 
-        The holder uses the grant with the serial ``holding`` or a later one, and demands so much a second of
+        The holder uses the grant with the serial ``used_serial`` or a later one, and demands so much a second of
         ``total``, which is what may be leased, without the minimum shares of slots. ``overflow`` is all that its
         bucket had no capacity for since it began, ``missing`` what its bucket could take now; ``duration_ms``: how
         long it may use the answer, a lease at most."""
-        if not self.record_request(now, holder_id, serial, holding, demand, total, overflow):
+        if not self.record_request(now, holder_id, serial, used_serial, demand, total, overflow):
             return None
         holder = self.holders[holder_id]
         holder.answered_serial = serial
-        if now < self.grants_from:
+        if now < self.may_grant_at:
             return None
         leased = self._leased(holder_id)
         share = Share(
@@ -100,7 +99,7 @@
                 Grant(second.serial, first.share.covering(second.share), max(first.expires_at, second.expires_at))
             ]
         holder.grants.append(Grant(serial, share, now + max_under_drift(min(duration_ms, self.lease_ms))))
-        # The reserve may hold less now; the tokens given along are in the holder's bucket and no longer here.
+        # This grant shrinks what is unleased, and so the reserve's cap. The tokens added now leave the reserve.
         self.reserve = min(self.reserve, self._unleased().burst)
         added_tokens = int(min(self.reserve * ADDED_SHARE, missing, share.burst))
         self.reserve -= added_tokens
@@ -111,7 +110,7 @@
         now: float,
         holder_id: int,
         serial: int,
-        holding: int,
+        used_serial: int,
         demand: int,
         total: BudgetTotal,
         overflow: int = 0,
@@ -127,7 +126,7 @@
         rate, burst = min(reported.rate for reported in totals), min(reported.burst for reported in totals)
         self.retained = Share(int(rate * RETAINED_SHARE), int(burst * RETAINED_SHARE))
         self.leasable = replace(total, rate=rate - self.retained.rate, burst=burst - self.retained.burst)
-        holder.grants = [g for g in holder.grants if g.serial >= holding]
+        holder.grants = [g for g in holder.grants if g.serial >= used_serial]
         # A running sum is reported, so a request that is lost or duplicated changes nothing.
         if holder.overflow >= 0:
             self.reserve = min(self.reserve + max(0, overflow - holder.overflow), float(self._unleased().burst))
@@ -142,8 +141,8 @@
     def advance(self, now: float) -> None:
         """Advances the time: grants expire, and the reserve refills by what nobody holds."""
         unleased = self._unleased()
-        # The clock may run fast; a grant that expired meanwhile refilled the holder's bucket, so it is not counted
-        # here.
+        # Computed before grants expire: until then they refilled the holder's bucket, not the reserve. The time is
+        # reduced by the clock drift, since the clock may run fast.
         self.reserve = min(
             float(unleased.burst), self.reserve + unleased.rate * min_under_drift(now - self.updated_at) / 1000
         )
@@ -202,7 +201,7 @@
     def restore(self, now: float, rows: list[list[int]], wait_ms: float = 0.0) -> None:
         """Continues from a predecessor's ownership state, at once or after the rest of its wait."""
         for holder_id, serial, rate, burst, left_ms in rows:
-            # Under the latest serial, which covers whichever of the predecessor's grants the holder uses.
+            # The latest serial, so that it is kept whichever of the predecessor's grants the holder uses.
             grant = Grant(serial, Share(rate, burst), now + max_under_drift(left_ms))
             self.holders[holder_id] = LeaseHolder(UNKNOWN_TOTAL, 0, now, -1, 0, [grant] if rate or burst else [])
-        self.grants_from = min(self.grants_from, now + max_under_drift(wait_ms))
+        self.may_grant_at = min(self.may_grant_at, now + max_under_drift(wait_ms))
--- a/rushweir/budgets/core.py
+++ b/rushweir/budgets/core.py
@@ -178,10 +178,10 @@
         share = minimum + (held.share if now < held.expires_at else NO_SHARE)
         if share != held.reported_share or added_tokens:
             held.reported_share = share
-            # The refill is counted by this process's clock, which may run fast.
-            slowed = Share(int(share.rate * (1 - MAX_CLOCK_DRIFT)), share.burst)
+            # The refill is counted by this process's clock, which may run fast: reduced by the clock drift.
+            drift_reduced = Share(int(share.rate * (1 - MAX_CLOCK_DRIFT)), share.burst)
             self.changes.append(
-                ShareChanged(held.name, slowed, added_tokens, max(0.0, held.expires_at - now), minimum)
+                ShareChanged(held.name, drift_reduced, added_tokens, max(0.0, held.expires_at - now), minimum)
             )
 
     def stop(self, now: float) -> None:
@@ -221,12 +221,12 @@
         else:
             self.outbox.setdefault(owner, []).append(row)
 
-    def _request_row(self, key: int, held: HeldLease, holding: int, demand: int) -> list[int]:
+    def _request_row(self, key: int, held: HeldLease, used_serial: int, demand: int) -> list[int]:
         total, minimum = held.total, int(held.total.minimum_share * 100)
         bucket = self.bucket_state(held.name)
         return [
-            REQUEST, key, held.serial, holding, demand, *bucket, total.rate, total.burst, minimum, total.first_slot,
-            total.slot_count,
+            REQUEST, key, held.serial, used_serial, demand, *bucket, total.rate, total.burst, minimum,
+            total.first_slot, total.slot_count,
         ]  # fmt: skip
 
     def _on_grant(self, serial: int, key: int, share: Share, added_tokens: int, duration_ms: int) -> None:
--- a/rushweir/budgets/leasing.py
+++ b/rushweir/budgets/leasing.py
@@ -41,14 +41,14 @@
         self.changes: list[ShareChanged] = []
         self.counts: Counter[str] = Counter()
         self.outbox: dict[int, list[list]] = {}  # entries for other processes, by id
-        self.next_expiry_at = inf  # when the next lease of this process expires
+        self.next_expiry_at = inf  # when the next lease or retained share of this process expires
         self.sweep_at = 0.0
         self.view = View()  # as seen last; the fleet may hold another by now
         self.owner_cache: dict[tuple[int, int, int, int], int] = {}  # owners, in the view ...
         self.owner_cache_view = self.view  # ... that was held when they were computed
-        self.grants_from = inf  # from when on this process may grant leases as a new owner
+        self.may_grant_at = inf  # from when on this process may grant leases as a new owner
         self.stopped = False
-        self.retained_shares: dict[int, Share] = {}  # as reported to the user
+        self.retained_shares: dict[int, Share] = {}  # as last reported in ``changes``
 
     def owner_of(self, key: int, total: BudgetTotal, without: int = 0) -> int:
         """Returns the process that owns a budget in the view held here, or would own it without the process
@@ -87,12 +87,13 @@
         is_confirmed = self._is_view_confirmed() and not self.stopped
         for key in sorted(self.retained_shares.keys() | self.owned.keys()):
             owner = self.owned.get(key)
-            is_owner = is_confirmed and owner is not None and now >= owner.grants_from
+            is_owner = is_confirmed and owner is not None and now >= owner.may_grant_at
             is_owner = is_owner and self.owner_of(key, owner.total) == self.fleet.me
             retained = owner.retained if is_owner else NO_SHARE
             if retained != self.retained_shares.get(key, NO_SHARE):
-                slowed = Share(int(retained.rate * (1 - MAX_CLOCK_DRIFT)), retained.burst)
-                self.changes.append(ShareChanged("", slowed, 0, inf, NO_SHARE, key & CRC_MASK))
+                # The refill is counted by this process's clock, which may run fast: reduced by the clock drift.
+                drift_reduced = Share(int(retained.rate * (1 - MAX_CLOCK_DRIFT)), retained.burst)
+                self.changes.append(ShareChanged("", drift_reduced, 0, inf, NO_SHARE, key & CRC_MASK))
                 self.retained_shares[key] = retained
             if retained == NO_SHARE:
                 self.retained_shares.pop(key, None)
@@ -110,14 +111,14 @@
 
     def _enqueue_request(self, holder: int, row: list[int]) -> None:
         """A request came. Of one holder and budget only the last one counts."""
-        _, key, serial, holding, demand, overflow, _, rate, burst, minimum, first_slot, slot_count = row
+        _, key, serial, used_serial, demand, overflow, _, rate, burst, minimum, first_slot, slot_count = row
         total = BudgetTotal(rate, burst, minimum / 100, first_slot, slot_count)
         if self.stopped or self.owner_of(key, total) != self.fleet.me:
             self.counts["not_home"] += 1
             return
         # What it gave back is free for others at once, even if its answer waits.
         self._owned_budget(key, total).record_request(
-            self.fleet.now, holder, serial, holding, demand, self._leasable(key, total), overflow
+            self.fleet.now, holder, serial, used_serial, demand, self._leasable(key, total), overflow
         )
         pending = self.pending_requests.get((key, holder))
         if pending is None and len(self.pending_requests) >= self.max_budgets:
@@ -148,7 +149,7 @@
         return self.fleet.app_budget.tokens - len(self.outbox)
 
     def _answer_request(self, holder: int, row: list) -> None:
-        _, key, serial, holding, demand, overflow, missing, rate, burst, minimum, first_slot, slot_count = row
+        _, key, serial, used_serial, demand, overflow, missing, rate, burst, minimum, first_slot, slot_count = row
         total = BudgetTotal(rate, burst, minimum / 100, first_slot, slot_count)
         now = self.fleet.now
         if self.stopped or self.owner_of(key, total) != self.fleet.me or not self._is_view_confirmed():
@@ -157,7 +158,7 @@
         owner = self._owned_budget(key, total)
         duration_ms = self._grant_ms()
         answer = owner.request(
-            now, holder, serial, holding, demand, self._leasable(key, total), overflow, missing, duration_ms
+            now, holder, serial, used_serial, demand, self._leasable(key, total), overflow, missing, duration_ms
         )
         if answer is None:
             return
@@ -175,7 +176,7 @@
         if owner is None:
             # What a predecessor leased is unknown.
             owner = self.owned[key] = BudgetOwner(
-                self.fleet.now, self.lease_ms, max(self.fleet.now, self.grants_from)
+                self.fleet.now, self.lease_ms, max(self.fleet.now, self.may_grant_at)
             )
         owner.total = total
         return owner
@@ -205,7 +206,7 @@
         self.sweep_at = now + self.lease_ms
         for key, owner in list(self.owned.items()):
             owner.advance(now)
-            if not owner.holders and now > owner.grants_from + IDLE_LEASES * self.lease_ms:
+            if not owner.holders and now > owner.may_grant_at + IDLE_LEASES * self.lease_ms:
                 del self.owned[key]
 
     # --- handoff ---------------------------------------------------------------------------------
@@ -223,7 +224,7 @@
             self.owned.clear()
             self.counts["homes_lost"] += 1
         # For what this process owns from now on without receiving state: all earlier leases have expired then.
-        self.grants_from = now + max_under_drift(self.lease_ms)
+        self.may_grant_at = now + max_under_drift(self.lease_ms)
         self._update_retained(now)  # before a successor starts granting
         self.handoffs.on_view_change(before, self.view, self._handoff_target)
         for key, owner in list(self.owned.items()):
@@ -240,16 +241,16 @@
     def _hand_off(self, now: float, key: int, owner: BudgetOwner, receiver: int) -> None:
         """Hands ownership state to the next owner, if there is one; of an owner that still waited, with the rest of
         its wait."""
-        wait_ms = int(max(0.0, owner.grants_from - now)) + 1 if owner.grants_from > now else 0
-        if receiver and owner.grants_from < inf and self.handoffs.start(
+        wait_ms = int(max(0.0, owner.may_grant_at - now)) + 1 if owner.may_grant_at > now else 0
+        if receiver and owner.may_grant_at < inf and self.handoffs.start(
             key, owner.total, receiver, self.fleet.view.number, owner.ownership_state(now), wait_ms,
             now + self.lease_ms,
         ):  # fmt: skip
             self.counts["handed_over"] += 1
 
     def _on_handoff_page(self, sender: int, entry: list) -> None:
-        """A page of a predecessor's state. The state counts from now on, and leases may be granted at once, or after
-        the wait that the predecessor still had to go through."""
+        """A page of a predecessor's state. The state is in force from now on, and leases may be granted at once,
+        or after the wait that the predecessor still had to go through."""
         _, key, view, page, page_count, wait_ms, rows = entry
         now, owner, held_view = self.fleet.now, self.owned.get(key), self.fleet.view.number
         if self.stopped or view > held_view or not isinstance(rows, list):
@@ -257,7 +258,7 @@
         if view < held_view and not self.handoffs.has_received(key, view):
             self.outbox.setdefault(sender, []).append([HANDOFF_REFUSED, key, view])
             return
-        if view == held_view and (owner is None or owner.grants_from > now):
+        if view == held_view and (owner is None or owner.may_grant_at > now):
             all_rows = self.handoffs.on_page(now, sender, key, view, page, page_count, rows)
             if all_rows is not None:
                 owner = owner or BudgetOwner(now, self.lease_ms, inf)
--- a/rushweir/lab/sim/budget_plants.py
+++ b/rushweir/lab/sim/budget_plants.py
@@ -24,7 +24,7 @@
 
 class Freed(BudgetOwner):
     def request(
-        self, now: float, who: int, serial: int, holding: int, demand: int, whole: BudgetTotal, spilled: int = 0,
+        self, now: float, who: int, serial: int, used_serial: int, demand: int, whole: BudgetTotal, spilled: int = 0,
         lacks: int = 0, lasts: float = inf,
     ) -> tuple[Share, int] | None:  # fmt: skip
         return super().request(now, who, serial, serial, demand, whole, spilled, lacks, lasts)
@@ -51,7 +51,7 @@
             self.view = View(self.fleet.view.number - (1 << SEED_BITS), self.view.slots)
         super()._on_view_change(now)
         if self.kind == "hasty":
-            self.grants_from = now
+            self.may_grant_at = now
 
     def _on_slot_change(self, now: float) -> None:
         super()._on_slot_change(now)
@@ -67,7 +67,7 @@
 
     def _owned_budget(self, key: int, whole: BudgetTotal) -> BudgetOwner:
         if self.kind == "freed" and self.owned.get(key) is None:
-            self.owned[key] = Freed(self.fleet.now, self.lease_ms, max(self.fleet.now, self.grants_from))
+            self.owned[key] = Freed(self.fleet.now, self.lease_ms, max(self.fleet.now, self.may_grant_at))
         return super()._owned_budget(key, whole)
 
     def _return_lease(self, now: float, key: int, h: HeldLease) -> None:
--- a/tests/budgets/test_home.py
+++ b/tests/budgets/test_home.py
@@ -49,8 +49,8 @@
             in_flight.remove((at, k, what))
             h = holders[k]
             if what[0] == "ask":
-                _, serial, holding, demand = what
-                answer = owner.request(now, h.id, serial, holding, demand, TOTAL)
+                _, serial, used_serial, demand = what
+                answer = owner.request(now, h.id, serial, used_serial, demand, TOTAL)
                 if answer is not None:
                     for _ in range(rng.choice((0, 1, 1, 1, 2))):
                         in_flight.append((now + rng.choice((5, 30, 900)), k, ("grant", serial, answer[0])))
@@ -58,10 +58,10 @@
                 h.answer(now, what[1], what[2])
         k = rng.randrange(len(holders))
         if rng.random() < 0.2:
-            serial, holding = holders[k].ask(now)
+            serial, used_serial = holders[k].ask(now)
             demand = rng.choice((0, 500, 5_000, 50_000))
             for _ in range(rng.choice((0, 1, 1, 2))):
-                in_flight.append((now + rng.choice((3, 20, 700)), k, ("ask", serial, holding, demand)))
+                in_flight.append((now + rng.choice((3, 20, 700)), k, ("ask", serial, used_serial, demand)))
         shares = [h.may(now) for h in holders]
         rate, burst = sum(share.rate for share in shares), sum(share.burst for share in shares)
         assert rate <= LEASABLE.rate and burst <= LEASABLE.burst, (step, rate, burst)
